--- a/postspring/histories/accounts.py
+++ b/postspring/histories/accounts.py
@@ -11,10 +11,10 @@
 
 # A turn uses a quarter of its ceiling on average; with half of it left, few
 # have to be broken off.
-LEAST_SHARE = 0.5
+MIN_CEILING_SHARE = 0.5
 # Programs whose reserves are kept in mind.  What is forgotten stays charged
 # and is not used.
-MOST_RESERVES = 10_000
+MAX_RESERVES = 10_000
 
 
 class Origin(enum.Enum):
@@ -69,12 +69,12 @@
     """
 
     usable: int = 0
-    asked: int = 0
+    requested: int = 0
     unfit: int = 0
 
 
 @dataclasses.dataclass(slots=True)
-class _Home:
+class _OfflineAccount:
     """A program that began here while the log was away.
 
     Parameters
@@ -116,10 +116,10 @@
         self._unsettled: dict[
             tuple[records.ProgramId, Origin], dict[records.TurnId, int]
         ] = {}
-        self._home_by_program: dict[records.ProgramId, _Home] = {}
+        self._offline_by_program: dict[records.ProgramId, _OfflineAccount] = {}
         self._reserve_by_program: dict[records.ProgramId, _Reserve] = {}
 
-    def take(
+    def admit(
         self,
         program: program_module.Program,
         turn: records.TurnId,
@@ -131,17 +131,17 @@
         if budget is None:
             return Ticket(program.id, turn, ceiling, budget, Origin.RESERVE)
         if self._reserve_left(program) >= ceiling:
-            self._put(program.id, Origin.RESERVE, turn, ceiling)
+            self._set_unsettled(program.id, Origin.RESERVE, turn, ceiling)
             return Ticket(program.id, turn, ceiling, budget, Origin.RESERVE)
         if not is_log_away:
             return None
-        limit = self._home_limit(program, ceiling, budget)
+        limit = self._offline_limit(program, ceiling, budget)
         if limit <= 0:
             return None
-        self._put(program.id, Origin.HOME, turn, limit)
+        self._set_unsettled(program.id, Origin.HOME, turn, limit)
         return Ticket(program.id, turn, ceiling, budget, Origin.HOME, limit)
 
-    def can_take(
+    def can_admit(
         self,
         program: program_module.Program,
         ceiling: int,
@@ -150,7 +150,7 @@
         """Return whether a turn would get its right."""
         if self._reserve_left(program) >= ceiling:
             return True
-        return is_log_away and self._home_limit(program, ceiling, None) > 0
+        return is_log_away and self._offline_limit(program, ceiling, None) > 0
 
     def _reserve_left(self, program: program_module.Program) -> int:
         """Return what may be spent: fitting, unspent, and charged here.
@@ -163,68 +163,74 @@
             return 0
         charged = program.reserve_by_author.get(self.author, 0)
         usable = min(reserve.usable, charged)
-        return usable - self._used(program.id, Origin.RESERVE)
+        return usable - self._unsettled_tokens(program.id, Origin.RESERVE)
 
-    def _home_limit(
+    def _offline_limit(
         self,
         program: program_module.Program,
         ceiling: int,
         budget: int | None,
     ) -> int:
         """Return the tokens that a turn may use at a home; 0 if none."""
-        home = self._home_by_program.get(program.id)
-        if home is None:
+        offline_account = self._offline_by_program.get(program.id)
+        if offline_account is None:
             return 0
-        left = home.tokens - self._used(program.id, Origin.HOME)
+        left = offline_account.tokens - self._unsettled_tokens(
+            program.id, Origin.HOME
+        )
         if budget is not None:
-            elsewhere = program.charged + program.reserved
-            used = self._used(program.id, Origin.HOME)
-            left = min(left, budget - elsewhere - used)
-        if home.is_certain:
+            charged_elsewhere = program.charged + program.reserved
+            used = self._unsettled_tokens(program.id, Origin.HOME)
+            left = min(left, budget - charged_elsewhere - used)
+        if offline_account.is_certain:
             return ceiling if left >= ceiling else 0
-        if left < ceiling * LEAST_SHARE:
+        if left < ceiling * MIN_CEILING_SHARE:
             return 0
         return min(left, ceiling)
 
-    def _used(self, program: records.ProgramId, origin: Origin) -> int:
+    def _unsettled_tokens(
+        self, program: records.ProgramId, origin: Origin
+    ) -> int:
         return sum(self._unsettled.get((program, origin), {}).values())
 
-    def ask(self, program: records.ProgramId, tokens: int) -> None:
+    def note_requested(self, program: records.ProgramId, tokens: int) -> None:
         """Take note that a record is on its way that reserves tokens."""
         if tokens:
-            self._reserve(program).asked += tokens
+            self._reserve(program).requested += tokens
 
-    def asked(self, program: records.ProgramId) -> int:
+    def requested(self, program: records.ProgramId) -> int:
         """Return what records on their way reserve."""
         reserve = self._reserve_by_program.get(program)
-        return 0 if reserve is None else reserve.asked
+        return 0 if reserve is None else reserve.requested
 
-    def granted(
-        self, program: records.ProgramId, tokens: int, holds: bool
+    def note_granted(
+        self, program: records.ProgramId, tokens: int, reserve_fits: bool
     ) -> None:
         """Take note that a record stands in the log that reserves tokens."""
         if not tokens:
             return
         reserve = self._reserve(program)
-        reserve.asked -= tokens
-        if holds:
+        reserve.requested -= tokens
+        if reserve_fits:
             reserve.usable += tokens
         else:
             reserve.unfit += tokens
 
-    def not_granted(self, program: records.ProgramId, tokens: int) -> None:
+    def note_not_granted(
+        self, program: records.ProgramId, tokens: int
+    ) -> None:
         """Take note that a record came to nothing."""
         if tokens:
-            self._reserve(program).asked -= tokens
+            self._reserve(program).requested -= tokens
 
-    def give_back(self, program: program_module.Program) -> int:
+    def release_idle(self, program: program_module.Program) -> int:
         """Return the idle reserve, and what never fitted: both are gone."""
         idle = max(0, self._reserve_left(program))
         if idle:
             self._reserve(program.id).usable -= idle
-        return idle + self.give_back_unfit(program.id)
+        return idle + self.release_unfit(program.id)
 
-    def give_back_unfit(self, program: records.ProgramId) -> int:
+    def release_unfit(self, program: records.ProgramId) -> int:
         """Return what never fitted, to be named in one record."""
         reserve = self._reserve_by_program.get(program)
         if reserve is None:
@@ -232,18 +238,18 @@
         unfit, reserve.unfit = reserve.unfit, 0
         return unfit
 
-    def spent(self, ticket: Ticket, tokens: int) -> None:
+    def note_spent(self, ticket: Ticket, tokens: int) -> None:
         """Take note that a turn has ended, and what it used."""
         if ticket.budget is None and ticket.origin is Origin.RESERVE:
             return
-        self._put(ticket.program, ticket.origin, ticket.turn, tokens)
+        self._set_unsettled(ticket.program, ticket.origin, ticket.turn, tokens)
 
-    def settle(self, ticket: Ticket, tokens: int) -> None:
+    def note_settled(self, ticket: Ticket, tokens: int) -> None:
         """Take note that the log holds what a turn used, or that it is 0."""
-        self._drop(ticket.program, ticket.origin, ticket.turn)
-        home = self._home_by_program.get(ticket.program)
-        if ticket.origin is Origin.HOME and home is not None:
-            home.tokens -= tokens
+        self._clear_unsettled(ticket.program, ticket.origin, ticket.turn)
+        offline_account = self._offline_by_program.get(ticket.program)
+        if ticket.origin is Origin.HOME and offline_account is not None:
+            offline_account.tokens -= tokens
         is_bounded = ticket.budget is not None
         if ticket.origin is Origin.RESERVE and is_bounded and tokens:
             self._reserve(ticket.program).usable -= tokens
@@ -254,7 +260,7 @@
         ceiling: int,
         budget: int | None,
         charged: int,
-        elsewhere: int,
+        charged_elsewhere: int,
         is_certain: bool,
     ) -> None:
         """Let a program go on here while the log is away.
@@ -271,56 +277,58 @@
             Tokens of its other homes.
         """
         if budget is not None:
-            left = budget - charged - elsewhere
-            tokens = left if is_certain else min(left, ceiling - elsewhere)
-            self.make_home(program, tokens, is_certain)
+            left = budget - charged - charged_elsewhere
+            tokens = (
+                left if is_certain else min(left, ceiling - charged_elsewhere)
+            )
+            self.open_offline_account(program, tokens, is_certain)
 
-    def make_home(
+    def open_offline_account(
         self, program: records.ProgramId, tokens: int, is_certain: bool
     ) -> None:
         """Let a program begin here while the log is away."""
-        home = _Home(tokens, is_certain)
-        self._home_by_program.setdefault(program, home)
+        offline_account = _OfflineAccount(tokens, is_certain)
+        self._offline_by_program.setdefault(program, offline_account)
 
     def home_tokens(self, program: records.ProgramId) -> int:
         """Return what a program may spend here, or has spent unrecorded."""
-        home = self._home_by_program.get(program)
-        return 0 if home is None else max(0, home.tokens)
+        offline_account = self._offline_by_program.get(program)
+        return 0 if offline_account is None else max(0, offline_account.tokens)
 
-    def unsettled_at_home(
+    def unsettled_offline(
         self, program: records.ProgramId
     ) -> dict[records.TurnId, int]:
         """Return what turns used here, or may use, that the log lacks."""
         return dict(self._unsettled.get((program, Origin.HOME), {}))
 
-    def is_home(self, program: records.ProgramId) -> bool:
+    def has_offline_account(self, program: records.ProgramId) -> bool:
         """Return whether the program began here while the log was away."""
-        return program in self._home_by_program
+        return program in self._offline_by_program
 
     @property
-    def has_homes(self) -> bool:
+    def has_offline_accounts(self) -> bool:
         """Whether any program began here, or has not settled it yet."""
         origins = {origin for program, origin in self._unsettled}
-        return bool(self._home_by_program) or Origin.HOME in origins
+        return bool(self._offline_by_program) or Origin.HOME in origins
 
-    def close_home(self, program: records.ProgramId) -> None:
+    def close_offline_account(self, program: records.ProgramId) -> None:
         """End a home if all its turns stand in the log."""
         if not self._unsettled.get((program, Origin.HOME)):
-            self._home_by_program.pop(program, None)
+            self._offline_by_program.pop(program, None)
 
     # -- own ------------------------------------------------------------------
 
     def _reserve(self, program: records.ProgramId) -> _Reserve:
         found = self._reserve_by_program.pop(program, None) or _Reserve()
         self._reserve_by_program[program] = found
-        if len(self._reserve_by_program) > MOST_RESERVES:
+        if len(self._reserve_by_program) > MAX_RESERVES:
             del self._reserve_by_program[next(iter(self._reserve_by_program))]
         return found
 
-    def _put(self, program, origin, turn, tokens) -> None:
+    def _set_unsettled(self, program, origin, turn, tokens) -> None:
         self._unsettled.setdefault((program, origin), {})[turn] = tokens
 
-    def _drop(self, program, origin, turn) -> None:
+    def _clear_unsettled(self, program, origin, turn) -> None:
         used = self._unsettled.get((program, origin))
         if used is None:
             return
--- a/postspring/histories/appending.py
+++ b/postspring/histories/appending.py
@@ -6,10 +6,10 @@
 from postspring import keyedlog
 from postspring.transport import timers as timers_module
 
-__all__ = ["Append"]
+__all__ = ["HedgedAppend"]
 
 
-class Append:
+class HedgedAppend:
     """Sent again while no answer has come.
 
     What reads the log ignores what stands there twice.
@@ -48,42 +48,42 @@
         self._may_resend = may_resend
         self._on_done = on_done
         self._on_error = on_error
-        self._open = 0
-        self._done = False
-        self._sent = 0
-        self._resend: timers_module.TimerHandle | None = None
+        self._open_calls = 0
+        self._is_done = False
+        self._sent_count = 0
+        self._resend_timer: timers_module.TimerHandle | None = None
 
     def start(self) -> None:
         """Send the batch, and plan to send it again."""
-        self._open += 1
-        if self._sent < len(self._pauses) and self._may_resend():
-            self._resend = self._timers.call_later(
-                self._pauses[self._sent], self._again
+        self._open_calls += 1
+        if self._sent_count < len(self._pauses) and self._may_resend():
+            self._resend_timer = self._timers.call_later(
+                self._pauses[self._sent_count], self._send_again
             )
-        self._sent += 1
+        self._sent_count += 1
         appended = functools.partial(self._appended, self._timers.now())
         self._send(appended, self._failed)
 
     # -- own ------------------------------------------------------------------
 
-    def _again(self) -> None:
-        if not self._done:
+    def _send_again(self) -> None:
+        if not self._is_done:
             self.start()
 
     def _appended(self, sent_at: float, first: int) -> None:
-        if self._done:
+        if self._is_done:
             return
         self._finish()
         self._on_done(first, self._timers.now() - sent_at)
 
     def _failed(self, error: keyedlog.KeyedLogError) -> None:
-        self._open -= 1
-        if self._done or self._open:
+        self._open_calls -= 1
+        if self._is_done or self._open_calls:
             return
         self._finish()
         self._on_error(error)
 
     def _finish(self) -> None:
-        self._done = True
-        if self._resend is not None:
-            self._resend.cancel()
+        self._is_done = True
+        if self._resend_timer is not None:
+            self._resend_timer.cancel()
--- a/postspring/histories/chains.py
+++ b/postspring/histories/chains.py
@@ -7,7 +7,7 @@
 from postspring.histories import errors
 from postspring.histories import records
 
-__all__ = ["Chain", "ChainSearch", "collect"]
+__all__ = ["Chain", "ChainSearch", "collect_chain"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
     upstream: str = ""
 
 
-def collect(
+def collect_chain(
     find: Callable, head: records.TurnRef
 ) -> tuple[Chain | None, records.TurnRef | None]:
     """Return the chain of a turn, or None and the first turn missing.
@@ -68,7 +68,7 @@
         self._walk(self._locate_head)
 
     def _walk(self, when_missing: Callable[[], None]) -> None:
-        chain, missing = collect(self._journal.known_turn, self._head)
+        chain, missing = collect_chain(self._journal.known_turn, self._head)
         if chain is not None:
             self._on_done(chain)
             return
--- a/postspring/histories/claims.py
+++ b/postspring/histories/claims.py
@@ -8,12 +8,12 @@
 from postspring.histories import records
 from postspring.histories import shares
 
-__all__ = ["Claims"]
+__all__ = ["ClaimWriter"]
 
 OPEN = shares.TurnState.OPEN
 
 
-class Claims:
+class ClaimWriter:
     """Writes claims into records, and hears what became of them.
 
     Explanation
@@ -30,20 +30,20 @@
         What the VM may spend.
     """
 
-    def __init__(self, local: accounts.LocalAccounts):
-        self._local = local
+    def __init__(self, local_accounts: accounts.LocalAccounts):
+        self._accounts = local_accounts
 
-    def opening(
+    def opening_record(
         self, known: program_module.Program, ticket: accounts.Ticket
     ) -> records.OpenedTurn:
         """Return the record that opens a turn; the idle reserve goes back."""
-        returned = self._local.give_back(known)
-        own = known.reserve_by_author.get(self._local.author, 0)
-        granted = self._ask(
+        returned = self._accounts.release_idle(known)
+        own = known.reserve_by_author.get(self._accounts.author, 0)
+        granted = self._request_reserve(
             known, ticket, own - returned, ticket.ceiling - returned
         )
         claim = records.Claim(
-            self._local.author,
+            self._accounts.author,
             ticket.ceiling,
             ticket.budget,
             granted,
@@ -51,7 +51,7 @@
         )
         return records.OpenedTurn(ticket.program, ticket.turn, claim)
 
-    def opened(
+    def note_opened(
         self,
         fold: fold_module.ProgramFold,
         record: records.OpenedTurn,
@@ -62,29 +62,33 @@
         A reserve that did not fit is named no more when the turn ends.
         """
         claim = record.claim
-        state, holds = fold.program(record.program).judge(record)
-        if state is OPEN and holds:
-            self._local.granted(record.program, claim.granted, holds)
+        state, reserve_fits = fold.program(record.program).decide(record)
+        if state is OPEN and reserve_fits:
+            self._accounts.note_granted(
+                record.program, claim.granted, reserve_fits
+            )
             granted = claim.granted
         else:
-            self._local.not_granted(record.program, claim.granted)
+            self._accounts.note_not_granted(record.program, claim.granted)
             granted = 0
         ticket = dataclasses.replace(
             ticket, granted=granted, returned=claim.returned
         )
         return state, ticket
 
-    def given_up(self, record: records.OpenedTurn) -> records.EndedTurn:
+    def withdrawal_record(
+        self, record: records.OpenedTurn
+    ) -> records.EndedTurn:
         """Return the record that settles an opening that came to nothing."""
         claim = record.claim._replace(ceiling=0, granted=0)
         return records.EndedTurn(record.program, record.turn, claim, 0)
 
-    def failed(self, record: records.OpenedTurn) -> records.EndedTurn:
+    def note_failed(self, record: records.OpenedTurn) -> records.EndedTurn:
         """Return what settles an opening of which nothing is known."""
-        self._local.not_granted(record.program, record.claim.granted)
-        return self.given_up(record)
+        self._accounts.note_not_granted(record.program, record.claim.granted)
+        return self.withdrawal_record(record)
 
-    def settling(
+    def settlement_claim(
         self,
         known: program_module.Program,
         ticket: accounts.Ticket,
@@ -95,8 +99,8 @@
             ticket.origin is accounts.Origin.RESERVE
             and ticket.budget is not None
         )
-        returned = self._local.give_back_unfit(known.id)
-        own = known.reserve_by_author.get(self._local.author, 0) - returned
+        returned = self._accounts.release_unfit(known.id)
+        own = known.reserve_by_author.get(self._accounts.author, 0) - returned
         used = -returned
         if from_reserve:
             own -= tokens
@@ -105,35 +109,35 @@
         else:
             used += tokens
         return records.Claim(
-            self._local.author,
+            self._accounts.author,
             ticket.ceiling,
             ticket.budget,
-            ticket.granted + self._ask(known, ticket, own, used),
+            ticket.granted + self._request_reserve(known, ticket, own, used),
             from_reserve,
             ticket.returned + returned,
         )
 
-    def settled(
+    def note_settled(
         self,
         fold: fold_module.ProgramFold,
         record: records.WholeTurn | records.EndedTurn,
         ticket: accounts.Ticket,
     ) -> None:
         """Take note that the record of a turn's end stands in the log."""
-        judgement = fold.program(record.program).judge(record)
-        self._local.granted(
+        decision = fold.program(record.program).decide(record)
+        self._accounts.note_granted(
             record.program,
             record.claim.granted - ticket.granted,
-            judgement.holds,
+            decision.reserve_fits,
         )
-        self._local.settle(ticket, record.tokens)
+        self._accounts.note_settled(ticket, record.tokens)
 
     # -- own ------------------------------------------------------------------
 
-    def _ask(self, known, ticket, own: int, used: int) -> int:
-        asked = self._local.asked(known.id)
-        granted = known.room_ahead(
-            ticket.ceiling, ticket.budget, own + asked, used + asked
+    def _request_reserve(self, known, ticket, own: int, used: int) -> int:
+        requested = self._accounts.requested(known.id)
+        granted = known.reservable_tokens(
+            ticket.ceiling, ticket.budget, own + requested, used + requested
         )
-        self._local.ask(known.id, granted)
+        self._accounts.note_requested(known.id, granted)
         return granted
--- a/postspring/histories/copies.py
+++ b/postspring/histories/copies.py
@@ -8,28 +8,32 @@
 from postspring.histories import records
 from postspring.transport import timers as timers_module
 
-__all__ = ["CopyCheck", "CopyKeeper", "EndCopies"]
+__all__ = [
+    "EndedTurnReplicas",
+    "ReplicaCheck",
+    "ReplicaStore",
+]
 
 # When a copy is looked for in the log, in seconds: its author appends it as
 # soon as the log answers, and only if that VM is gone, or the log stays away,
 # it has to be appended here.  VMs look at different times, so that one finds
 # what another has appended.
-CHECK_SECONDS = (2.0, 3.0)
+CHECK_DELAY_SECONDS = (2.0, 3.0)
 # The same by a VM whose log is quick if the author's is away, in seconds: what
 # only VMs keep is lost if all lose power.  The latest of four still finds
 # what the first has appended in some ms; of a log that is slow for the author
 # too, all four would append it, and what waits there would wait longer.
-SOON_SECONDS = (0.0, 0.2)
+URGENT_CHECK_DELAY_SECONDS = (0.0, 0.2)
 # How long the log may be away, in seconds; above the retention of the users'
 # routes.
-TIMEOUT_SECONDS = 120.0
+LOG_TIMEOUT_SECONDS = 120.0
 
 
-class CopyKeeper(Protocol):
+class ReplicaStore(Protocol):
     """What a check needs of the journal that keeps the copy."""
 
     def refresh_program(
-        self, program, timeout, on_done, on_error, waits_long=False
+        self, program, timeout, on_done, on_error, keeps_timeout=False
     ) -> None:
         """Fold all records of a program's partition."""
 
@@ -39,17 +43,17 @@
     def is_logged(self, ref: records.TurnRef) -> bool:
         """Return whether a whole turn is known to stand in the log."""
 
-    def record_copy(self, record: records.WholeTurn) -> None:
+    def append_replica(self, record: records.WholeTurn) -> None:
         """Append a copy that is not in the log."""
 
-    def record_location(self, record: records.WholeTurn) -> None:
+    def append_replica_location(self, record: records.WholeTurn) -> None:
         """Append where a copy stands whose place is not in the log."""
 
-    def drop_copy(self, ref: records.TurnRef) -> None:
+    def drop_replica(self, ref: records.TurnRef) -> None:
         """Forget a copy whose records stand in the log."""
 
 
-class CopyCheck:
+class ReplicaCheck:
     """Looks whether a copy stands in the log, and appends what is missing.
 
     One read costs the log less than an append, and all VMs that keep a copy
@@ -66,7 +70,7 @@
 
     def __init__(
         self,
-        journal: CopyKeeper,
+        journal: ReplicaStore,
         timers: timers_module.Timers,
         record: records.WholeTurn,
         on_lost: Callable[[errors.HistoryError], None],
@@ -74,42 +78,47 @@
         self._journal = journal
         self._timers = timers
         self._record = record
-        self._lost = on_lost
+        self._on_lost = on_lost
         self._ref = records.TurnRef(record.program, record.turn)
 
     def start(self, is_urgent: bool) -> None:
         """Look soon, or after a while."""
-        bounds = SOON_SECONDS if is_urgent else CHECK_SECONDS
+        bounds = (
+            URGENT_CHECK_DELAY_SECONDS if is_urgent else CHECK_DELAY_SECONDS
+        )
         seconds = random.uniform(*bounds)
-        self._timers.call_later(seconds, self._look)
+        self._timers.call_later(seconds, self._check_log)
 
     # -- own ------------------------------------------------------------------
 
-    def _look(self) -> None:
+    def _check_log(self) -> None:
         self._journal.refresh_program(
             self._record.program,
-            TIMEOUT_SECONDS,
+            LOG_TIMEOUT_SECONDS,
             self._folded,
-            self._lost,
-            waits_long=True,
+            self._on_lost,
+            keeps_timeout=True,
         )
 
     def _folded(self) -> None:
         if not self._journal.is_logged(self._ref):
-            self._journal.record_copy(self._record)
+            self._journal.append_replica(self._record)
             return
         self._journal.locate(
-            self._record.turn, TIMEOUT_SECONDS, self._located, self._lost
+            self._record.turn,
+            LOG_TIMEOUT_SECONDS,
+            self._located,
+            self._on_lost,
         )
 
     def _located(self, program: records.ProgramId | None) -> None:
         if program is None:
-            self._journal.record_location(self._record)
+            self._journal.append_replica_location(self._record)
         else:
-            self._journal.drop_copy(self._ref)
+            self._journal.drop_replica(self._ref)
 
 
-class EndCopies:
+class EndedTurnReplicas:
     """What turns used that left no history, as other VMs tell.
 
     Explanation
@@ -141,19 +150,19 @@
         self._refresh = refresh
         self._is_folded = is_folded
         self._append = append
-        self._kept: set[records.EndedTurn] = set()
+        self._stored: set[records.EndedTurn] = set()
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._stored)
 
     @property
-    def kept(self) -> list[records.EndedTurn]:
+    def stored(self) -> list[records.EndedTurn]:
         """The records that are kept."""
-        return list(self._kept)
+        return list(self._stored)
 
-    def knows(self, program: records.ProgramId) -> bool:
+    def has_program(self, program: records.ProgramId) -> bool:
         """Return whether a turn of a program is among them."""
-        return any(record.program == program for record in self._kept)
+        return any(record.program == program for record in self._stored)
 
     def tokens_by_turn(
         self, program: records.ProgramId
@@ -161,19 +170,19 @@
         """Return what a program's turns among them used."""
         return {
             record.turn: record.tokens
-            for record in self._kept
+            for record in self._stored
             if record.program == program
         }
 
-    def keep(self, record: records.EndedTurn) -> None:
+    def add(self, record: records.EndedTurn) -> None:
         """Keep a record, and look for it in the log after a while."""
-        if record in self._kept or self._is_folded(record):
+        if record in self._stored or self._is_folded(record):
             return
-        self._kept.add(record)
-        seconds = random.uniform(*CHECK_SECONDS)
-        self._timers.call_later(seconds, self._look, record)
+        self._stored.add(record)
+        seconds = random.uniform(*CHECK_DELAY_SECONDS)
+        self._timers.call_later(seconds, self._check_log, record)
 
-    def _look(self, record: records.EndedTurn) -> None:
+    def _check_log(self, record: records.EndedTurn) -> None:
         def folded() -> None:
             if self._is_folded(record):
                 self._drop(record)
@@ -182,11 +191,11 @@
 
         self._refresh(
             record.program,
-            TIMEOUT_SECONDS,
+            LOG_TIMEOUT_SECONDS,
             folded,
             lambda error: self._drop(record),
-            waits_long=True,
+            keeps_timeout=True,
         )
 
     def _drop(self, record: records.EndedTurn) -> None:
-        self._kept.discard(record)
+        self._stored.discard(record)
--- a/postspring/histories/handover.py
+++ b/postspring/histories/handover.py
@@ -14,18 +14,21 @@
 
 from postspring.histories import records
 
-__all__ = ["LOOK_SECONDS", "Handover"]
+__all__ = [
+    "CHECK_SECONDS",
+    "Handover",
+]
 
 LOG = logging.getLogger(__name__)
 
 # How often a VM that stops looks for what nobody has taken yet, in seconds.
-LOOK_SECONDS = 0.5
+CHECK_SECONDS = 0.5
 # Bytes of records that are given away at once: well below what a VM reads
 # of a request, 4 MiB.
 BATCH_BYTES = 1024 * 1024
 
 # Gives records to other VMs; told whether enough of them have all.
-Give = Callable[[list[bytes], Callable[[bool], None]], None]
+SendRecords = Callable[[list[bytes], Callable[[bool], None]], None]
 
 
 class Handover:
@@ -40,20 +43,22 @@
         Gives some to other VMs.
     """
 
-    def __init__(self, owed: Callable[[], Iterable], give: Give):
-        self._owed = owed
-        self._give = give
-        self._handed: set = set()
-        self._is_under_way = False
+    def __init__(
+        self, list_unrecorded: Callable[[], Iterable], send: SendRecords
+    ):
+        self._list_unrecorded = list_unrecorded
+        self._send = send
+        self._taken: set = set()
+        self._is_sending = False
 
-    def go_on(self) -> None:
+    def send_next_batch(self) -> None:
         """Give away what nobody has taken yet, some of it."""
-        if self._is_under_way:
+        if self._is_sending:
             return
         batch, size = [], 0
         data_of_batch = []
-        for record in self._owed():
-            if record in self._handed:
+        for record in self._list_unrecorded():
+            if record in self._taken:
                 continue
             data = records.encode_record(record)
             size += len(data)
@@ -63,16 +68,16 @@
             data_of_batch.append(data)
         if not batch:
             return
-        self._is_under_way = True
+        self._is_sending = True
 
         def done(is_taken: bool) -> None:
-            self._is_under_way = False
+            self._is_sending = False
             LOG.info(
                 "records handed over",
                 extra={"records": len(batch), "taken": is_taken},
             )
             if is_taken:
-                self._handed.update(batch)
-                self.go_on()
+                self._taken.update(batch)
+                self.send_next_batch()
 
-        self._give(data_of_batch, done)
+        self._send(data_of_batch, done)
--- a/postspring/histories/held.py
+++ b/postspring/histories/held.py
@@ -10,10 +10,10 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _Wait:
+class _Waiter:
     """Somebody who waits until some turns are recorded."""
 
-    missing: set[records.TurnRef]
+    unrecorded: set[records.TurnRef]
     on_done: Callable[[], None]
 
 
@@ -43,15 +43,15 @@
     def __init__(self) -> None:
         super().__init__()
         self._recorded_elsewhere: set[records.TurnRef] = set()
-        self._offered: set[records.TurnRef] = set()
-        self._waits: list[_Wait] = []
+        self._submitted: set[records.TurnRef] = set()
+        self._waiters: list[_Waiter] = []
 
     @property
-    def missing(self) -> Iterable[records.WholeTurn]:
+    def unrecorded(self) -> Iterable[records.WholeTurn]:
         """Those that are not known to stand in the log."""
-        return (turn for ref, turn in self.items() if self.is_missing(ref))
+        return (turn for ref, turn in self.items() if self.is_unrecorded(ref))
 
-    def is_missing(self, ref: records.TurnRef) -> bool:
+    def is_unrecorded(self, ref: records.TurnRef) -> bool:
         """Return whether a turn could be lost with the VMs that keep it."""
         return ref in self and ref not in self._recorded_elsewhere
 
@@ -61,38 +61,40 @@
         self[ref] = turn
         return ref
 
-    def offer(self, ref: records.TurnRef) -> bool:
+    def mark_submitted(self, ref: records.TurnRef) -> bool:
         """Take note that the log is offered a turn; tell if it is the first.
 
         Offered once, it is tried until it stands there.
         """
-        is_first = ref not in self._offered
-        self._offered.add(ref)
+        is_first = ref not in self._submitted
+        self._submitted.add(ref)
         return is_first
 
     def note_recorded(self, ref: records.TurnRef) -> None:
         """Take note that this VM has a turn from the log."""
         self._forget(ref)
-        self._release(ref)
+        self._notify_waiters(ref)
 
     def note_lost(self, ref: records.TurnRef) -> None:
         """Take note that a turn will never stand in the log."""
         self._forget(ref)
-        self._waits = [item for item in self._waits if ref not in item.missing]
+        self._waiters = [
+            item for item in self._waiters if ref not in item.unrecorded
+        ]
 
     def note_recorded_elsewhere(self, ref: records.TurnRef) -> None:
         """Take note that another VM has recorded a turn."""
         if ref in self:
             self._recorded_elsewhere.add(ref)
-            self._release(ref)
+            self._notify_waiters(ref)
 
-    def when_recorded(
+    def call_when_recorded(
         self, refs: Iterable[records.TurnRef], on_done: Callable[[], None]
     ) -> None:
         """Call a function once none of these turns is missing."""
-        missing = {ref for ref in refs if self.is_missing(ref)}
-        if missing:
-            self._waits.append(_Wait(missing, on_done))
+        unrecorded = {ref for ref in refs if self.is_unrecorded(ref)}
+        if unrecorded:
+            self._waiters.append(_Waiter(unrecorded, on_done))
         else:
             on_done()
 
@@ -101,13 +103,15 @@
     def _forget(self, ref: records.TurnRef) -> None:
         self.pop(ref, None)
         self._recorded_elsewhere.discard(ref)
-        self._offered.discard(ref)
+        self._submitted.discard(ref)
 
-    def _release(self, ref: records.TurnRef) -> None:
+    def _notify_waiters(self, ref: records.TurnRef) -> None:
         """Call those that waited for nothing but this turn."""
-        for wait in self._waits:
-            wait.missing.discard(ref)
-        done = [wait for wait in self._waits if not wait.missing]
-        self._waits = [wait for wait in self._waits if wait.missing]
-        for wait in done:
-            wait.on_done()
+        for waiter in self._waiters:
+            waiter.unrecorded.discard(ref)
+        done = [waiter for waiter in self._waiters if not waiter.unrecorded]
+        self._waiters = [
+            waiter for waiter in self._waiters if waiter.unrecorded
+        ]
+        for waiter in done:
+            waiter.on_done()
--- a/postspring/histories/journal.py
+++ b/postspring/histories/journal.py
@@ -63,7 +63,9 @@
         timers: timers_module.Timers,
         author: str,
         replica_holders: ports.ReplicaHolders | None = None,
-        catch_up_rate: Callable[[], float] = lambda: partitions.CATCH_UP_RATE,
+        catch_up_rate: Callable[[], float] = lambda: (
+            partitions.DEFAULT_CATCH_UP_RATE
+        ),
         sizes: sizes_module.Sizes = sizes_module.Sizes(),
     ):
         self.sizes = sizes
@@ -75,26 +77,29 @@
             recording.append_record, self._partitions
         )
         self.accounts = accounts.LocalAccounts(author)
-        self._claims = claims.Claims(self.accounts)
-        self._openings = openings.Openings(
-            self._claims, self._commit, self._settle_unrun
+        self._claim_writer = claims.ClaimWriter(self.accounts)
+        self._opener = openings.TurnOpener(
+            self._claim_writer, self._commit, self._append_withdrawal
         )
         self.replica_holders = replica_holders or ports.NoReplicaHolders()
-        self._end_copies = copies.EndCopies(
+        self._ended_replicas = copies.EndedTurnReplicas(
             timers,
             self.refresh_program,
-            lambda record: self._partitions.program(record.program).has_end(
-                record
-            ),
-            self._record_end_copy,
+            lambda record: self._partitions.program(
+                record.program
+            ).has_settlement(record),
+            self._append_ended_replica,
         )
         self._held_by_ref = held.HeldTurns()
-        self._whole_turns = whole_turns.WholeTurns(
-            self._partitions, self._held_by_ref, self.known_turn, self._lost
+        self._recorder = whole_turns.TurnRecorder(
+            self._partitions,
+            self._held_by_ref,
+            self.known_turn,
+            self._make_loss_reporter,
         )
         self._settling: dict[records.TurnRef, records.EndedTurn] = {}
         self._handover = handover.Handover(
-            lambda: self._owed,
+            lambda: self._unrecorded_records,
             lambda data, on_done: self.replica_holders.hand_over(
                 data, on_done
             ),
@@ -108,22 +113,24 @@
     @property
     def unrecorded(self) -> int:
         """Number of turns and charges that could be lost with this VM."""
-        missing = len(list(self._held_by_ref.missing))
-        return missing + len(self._settling) + len(self._end_copies)
+        missing = len(list(self._held_by_ref.unrecorded))
+        return missing + len(self._settling) + len(self._ended_replicas)
 
     @property
-    def _owed(self) -> list[records.WholeTurn | records.EndedTurn]:
+    def _unrecorded_records(
+        self,
+    ) -> list[records.WholeTurn | records.EndedTurn]:
         return [
-            *self._held_by_ref.missing,
+            *self._held_by_ref.unrecorded,
             *self._settling.values(),
-            *self._end_copies.kept,
+            *self._ended_replicas.stored,
         ]
 
     def hand_over_while(self, is_stopping: Callable[[], bool]) -> None:
         """Give what the log lacks to VMs that stay, while this one stops."""
         self._timers.call_every(
-            handover.LOOK_SECONDS,
-            lambda: is_stopping() and self._handover.go_on(),
+            handover.CHECK_SECONDS,
+            lambda: is_stopping() and self._handover.send_next_batch(),
         )
 
     def log_is_back(self) -> None:
@@ -144,30 +151,32 @@
     ) -> None:
         """Get the right to run a turn, from a reserve or from the log."""
         known = self._partitions.program(program)
-        is_away = self._partitions.is_failing(
+        is_unresponsive = self._partitions.is_unresponsive(
             partitions.place_of_program(program)
         )
-        if not is_away:
-            self.accounts.close_home(program)
-        opened = accounts.Ticket(
+        if not is_unresponsive:
+            self.accounts.close_offline_account(program)
+        log_ticket = accounts.Ticket(
             program, turn, ceiling, budget, accounts.Origin.LOG
         )
         ref = records.TurnRef(program, turn)
-        used = self._openings.use_of_id(known, ref)
-        if used is not None:
-            on_done(used, opened)
+        conflict = self._opener.conflicting_state(known, ref)
+        if conflict is not None:
+            on_done(conflict, log_ticket)
             return
-        ticket = self.accounts.take(known, turn, ceiling, budget, is_away)
+        ticket = self.accounts.admit(
+            known, turn, ceiling, budget, is_unresponsive
+        )
         if ticket is not None:
-            self._openings.begin(ref)
+            self._opener.note_running(ref)
             on_done(shares.TurnState.OPEN, ticket)
         elif known.is_spent(ceiling, budget):
             # Settled turns only become more: no record can change it.
-            on_done(shares.TurnState.REFUSED, opened)
+            on_done(shares.TurnState.REFUSED, log_ticket)
         else:
-            if is_away:
+            if is_unresponsive:
                 timeout = min(timeout, reading.FAILING_TIMEOUT_SECONDS)
-            self._openings.open(known, opened, timeout, on_done, on_error)
+            self._opener.open(known, log_ticket, timeout, on_done, on_error)
 
     def is_spent(
         self, program: records.ProgramId, ceiling: int, budget: int | None
@@ -191,26 +200,26 @@
             Where the line's prompt is in memory now.
         """
         ref = records.TurnRef(ticket.program, ticket.turn)
-        self._openings.end(ref)
+        self._opener.note_stopped(ref)
         known = self._partitions.program(ticket.program)
-        known.note_place(line, upstream)
+        known.note_upstream(line, upstream)
         if ticket.origin is not accounts.Origin.LOG and not tokens:
-            self.accounts.settle(ticket, 0)
+            self.accounts.note_settled(ticket, 0)
             return
-        claim = self._claim(ticket, tokens)
+        claim = self._settlement_claim(ticket, tokens)
         record = records.EndedTurn(
             ticket.program, ticket.turn, claim, tokens, line, upstream
         )
-        self.accounts.spent(ticket, tokens)
+        self.accounts.note_spent(ticket, tokens)
         # Lost, one of a home is not charged at all, and others too much.
         self._settling[ref] = record
 
         def settled(fold: fold_module.ProgramFold) -> None:
             self._settling.pop(ref, None)
-            self._claims.settled(fold, record, ticket)
+            self._claim_writer.note_settled(fold, record, ticket)
 
-        lost = self._lost(ticket)
-        self._commit(record, recording.KEEP_SECONDS, settled, lost)
+        report_loss = self._make_loss_reporter(ticket)
+        self._commit(record, recording.KEEP_SECONDS, settled, report_loss)
         if ticket.origin is accounts.Origin.HOME:
             # Nothing in the log charges it, and this VM may die first.
             data = records.encode_record(record)
@@ -221,11 +230,11 @@
         ticket: accounts.Ticket,
         parent: records.TurnRef | None,
         tokens: int,
-        given: bytes,
-        generated: bytes,
+        input_data: bytes,
+        output_data: bytes,
         upstream: str,
         on_done: Callable[[str], None],
-        timeout: float = completion.TIMEOUT_SECONDS,
+        timeout: float = completion.DEFAULT_TIMEOUT_SECONDS,
     ) -> Callable[[], None]:
         """Add a whole turn to the history, and note where it stands.
 
@@ -237,33 +246,33 @@
         record = records.WholeTurn(
             ticket.program,
             ticket.turn,
-            self._claim(ticket, tokens),
+            self._settlement_claim(ticket, tokens),
             parent,
             tokens,
-            given,
-            generated,
+            input_data,
+            output_data,
             upstream,
         )
-        self._openings.end(records.TurnRef(ticket.program, ticket.turn))
-        self.accounts.spent(ticket, tokens)
-        safe = completion.Completion(
+        self._opener.note_stopped(records.TurnRef(ticket.program, ticket.turn))
+        self.accounts.note_spent(ticket, tokens)
+        durability = completion.DurabilityWait(
             self._timers,
             self.replica_holders,
             records.encode_record(record),
-            lambda: recording.is_away(self._partitions, record),
+            lambda: recording.is_unavailable(self._partitions, record),
             timeout,
             lambda: recording.is_late(self._partitions, record),
-            lambda seconds, on_answer: self._whole_turns.have_recorded(
+            lambda seconds, on_answer: self._recorder.record_elsewhere(
                 record, self.replica_holders, seconds, on_answer
             ),
         )
-        self._whole_turns.record_with_chain(
+        self._recorder.record_with_chain(
             record,
-            lambda fold: self._claims.settled(fold, record, ticket),
-            safe.logged,
+            lambda fold: self._claim_writer.note_settled(fold, record, ticket),
+            durability.logged,
         )
-        safe.start(on_done)
-        return safe.end_now
+        durability.start(on_done)
+        return durability.finish_now
 
     def keep_copy(self, data: bytes, is_log_away: bool = False) -> None:
         """Keep another VM's record; see to it that it gets into the log.
@@ -280,20 +289,22 @@
         """
         record = records.decode_record(data)
         if isinstance(record, records.EndedTurn):
-            self._end_copies.keep(record)
+            self._ended_replicas.add(record)
             return
         _check_is_whole(record)
         ref = records.TurnRef(record.program, record.turn)
         is_held = ref in self._held_by_ref
         if not is_held and not self._partitions.is_recorded(ref):
             self._held_by_ref.add(record)
-            lost = self._lost(record)
-            check = copies.CopyCheck(self, self._timers, record, lost)
+            report_loss = self._make_loss_reporter(record)
+            replica_check = copies.ReplicaCheck(
+                self, self._timers, record, report_loss
+            )
             place = partitions.place_of_program(record.program)
-            is_urgent = is_log_away and self._partitions.is_quick(place)
+            is_urgent = is_log_away and self._partitions.is_fast(place)
             names = {"program": record.program, "request": record.turn}
             LOG.info("copy kept", extra=names | {"is_urgent": is_urgent})
-            check.start(is_urgent)
+            replica_check.start(is_urgent)
 
     def record_for_another(
         self, turns: list[bytes], on_done: Callable[[], None]
@@ -310,33 +321,35 @@
         decoded = [records.decode_record(data) for data in turns]
         for record in decoded:
             _check_is_whole(record)
-        self._whole_turns.record_for_another(decoded, on_done)
+        self._recorder.record_for_another(decoded, on_done)
 
-    def drop_copy(self, ref: records.TurnRef) -> None:
+    def drop_replica(self, ref: records.TurnRef) -> None:
         """Forget a copy whose records stand in the log."""
         self._held_by_ref.note_recorded(ref)
 
-    def record_copy(self, record: records.WholeTurn) -> None:
+    def append_replica(self, record: records.WholeTurn) -> None:
         """Append a copy that is not in the log."""
-        self._whole_turns.record_copy(record, 0.0)
+        self._recorder.append_replica(record, 0.0)
 
-    def record_location(self, record: records.WholeTurn) -> None:
+    def append_replica_location(self, record: records.WholeTurn) -> None:
         """Append where a copy stands whose place is not in the log."""
         ref = records.TurnRef(record.program, record.turn)
-        logged = functools.partial(self.drop_copy, ref)
-        lost = self._lost(record)
-        recording.append_location(self._partitions, record, logged, lost)
+        logged = functools.partial(self.drop_replica, ref)
+        report_loss = self._make_loss_reporter(record)
+        recording.append_location(
+            self._partitions, record, logged, report_loss
+        )
 
     # -- own ------------------------------------------------------------------
 
-    def _lost(self, item) -> openings.OnError:
+    def _make_loss_reporter(self, item) -> openings.OnError:
         """Return what reports a record that never got into the log."""
 
         def report(error: errors.HistoryError) -> None:
             ref = records.TurnRef(item.program, item.turn)
             is_whole = isinstance(item, records.WholeTurn)
             # Another VM may have recorded it, and it is told once.
-            is_lost = not is_whole or self._held_by_ref.is_missing(ref)
+            is_lost = not is_whole or self._held_by_ref.is_unrecorded(ref)
             self._held_by_ref.note_lost(ref)
             self._settling.pop(ref, None)
             where = {"program": item.program, "request": item.turn}
@@ -345,7 +358,7 @@
 
         return report
 
-    def _record_end_copy(
+    def _append_ended_replica(
         self, record: records.EndedTurn, on_done: Callable[[], None]
     ) -> None:
         self._commit(
@@ -355,13 +368,17 @@
             lambda error: on_done(),
         )
 
-    def _settle_unrun(self, record: records.EndedTurn) -> None:
-        lost = self._lost(record)
-        self._commit(record, recording.KEEP_SECONDS, lambda fold: None, lost)
+    def _append_withdrawal(self, record: records.EndedTurn) -> None:
+        report_loss = self._make_loss_reporter(record)
+        self._commit(
+            record, recording.KEEP_SECONDS, lambda fold: None, report_loss
+        )
 
-    def _claim(self, ticket: accounts.Ticket, tokens: int) -> records.Claim:
+    def _settlement_claim(
+        self, ticket: accounts.Ticket, tokens: int
+    ) -> records.Claim:
         known = self._partitions.program(ticket.program)
-        return self._claims.settling(known, ticket, tokens)
+        return self._claim_writer.settlement_claim(known, ticket, tokens)
 
 
 def _check_is_whole(record: records.Record) -> None:
--- a/postspring/histories/openings.py
+++ b/postspring/histories/openings.py
@@ -10,13 +10,17 @@
 from postspring.histories import records
 from postspring.histories import shares
 
-__all__ = ["OnError", "OnOpened", "Openings"]
+__all__ = [
+    "OnError",
+    "OnOpened",
+    "TurnOpener",
+]
 
 OnError = Callable[[errors.HistoryError], None]
 OnOpened = Callable[[shares.TurnState, accounts.Ticket], None]
 
 
-class Openings:
+class TurnOpener:
     """Opens turns in the log, and settles those that don't run.
 
     Parameters
@@ -31,28 +35,28 @@
 
     def __init__(
         self,
-        claims: claims_module.Claims,
+        claims: claims_module.ClaimWriter,
         commit: Callable,
         settle: Callable[[records.EndedTurn], None],
     ):
-        self._claims = claims
+        self._claim_writer = claims
         self._commit = commit
         self._settle = settle
-        self._under_way: set[records.TurnRef] = set()
+        self._running: set[records.TurnRef] = set()
 
-    def begin(self, ref: records.TurnRef) -> None:
+    def note_running(self, ref: records.TurnRef) -> None:
         """Take note that a turn may be running here."""
-        self._under_way.add(ref)
+        self._running.add(ref)
 
-    def end(self, ref: records.TurnRef) -> None:
+    def note_stopped(self, ref: records.TurnRef) -> None:
         """Take note that a turn doesn't run here any more."""
-        self._under_way.discard(ref)
+        self._running.discard(ref)
 
-    def use_of_id(
+    def conflicting_state(
         self, known: program_module.Program, ref: records.TurnRef
     ) -> shares.TurnState | None:
         """Return what keeps a turn's id from being used, as known here."""
-        if ref in self._under_way:
+        if ref in self._running:
             return shares.TurnState.TAKEN
         return known.state_after_run(ref.turn)
 
@@ -65,22 +69,24 @@
         on_error: OnError,
     ) -> None:
         """Append the record that opens a turn, and judge it at its place."""
-        record = self._claims.opening(known, ticket)
+        record = self._claim_writer.opening_record(known, ticket)
         ref = records.TurnRef(record.program, record.turn)
-        self.begin(ref)
+        self.note_running(ref)
 
         def folded(fold: fold_module.ProgramFold) -> None:
-            state, judged = self._claims.opened(fold, record, ticket)
+            state, decided = self._claim_writer.note_opened(
+                fold, record, ticket
+            )
             if state is not shares.TurnState.OPEN:
                 # Others charge it until this VM, which knows, has said so.
-                self.end(ref)
-                self._settle(self._claims.given_up(record))
-            on_done(state, judged)
+                self.note_stopped(ref)
+                self._settle(self._claim_writer.withdrawal_record(record))
+            on_done(state, decided)
 
         def failed(error: errors.HistoryError) -> None:
             # The record may still be appended; it must not stay charged.
-            self.end(ref)
-            self._settle(self._claims.failed(record))
+            self.note_stopped(ref)
+            self._settle(self._claim_writer.note_failed(record))
             on_error(error)
 
         self._commit(record, timeout, folded, failed)
--- a/postspring/histories/partition.py
+++ b/postspring/histories/partition.py
@@ -28,7 +28,7 @@
 BUSY_RETRY_SECONDS = 0.5
 # A longer timeout than this keeps nobody waiting, in seconds: callers
 # wait for some seconds, what has to be recorded can wait for minutes.
-LONGEST_AWAITED_SECONDS = 30.0
+MAX_CALLER_WAIT_SECONDS = 30.0
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -39,7 +39,7 @@
     on_done: Callable[[Any], None]
     on_error: Callable[[errors.HistoryError], None]
     expiry: timers_module.TimerHandle | None = None
-    awaited_until: float = 0.0
+    caller_waits_until: float = 0.0
 
 
 class Partition:
@@ -71,43 +71,46 @@
         timers: timers_module.Timers,
         place: keyedlog.LogPlace,
         fold_type: type,
-        answers: reachability.LogAnswers,
-        on_back: Callable[[], None] = lambda: None,
+        log_health: reachability.LogHealth,
+        on_recovered: Callable[[], None] = lambda: None,
         is_ordered: bool = True,
-        spread: Callable[[float], float] = lambda seconds: seconds,
+        pace_retry: Callable[[float], float] = lambda seconds: seconds,
         call_bytes: int = sizes.Sizes().call,
     ):
         self._call_bytes = call_bytes
-        self._spread = spread
+        self._pace_retry = pace_retry
         self._is_ordered = is_ordered
-        self._on_back = on_back
+        self._on_recovered = on_recovered
         self._log = log
         self._timers = timers
         self._place = place
         self._fold_type = fold_type
         self.fold: Any = fold_type()
-        self.end: int | None = None
-        self.used_at = timers.now()
+        self.next_offset: int | None = None
+        self.last_used_at = timers.now()
         self._commits: list[_Waiter] = []
         self._refreshes: list[_Waiter] = []
-        self._busy = False
-        self._answers = answers
-        self._reach = reachability.Reachability(timers, answers)
+        self._is_step_open = False
+        self._log_health = log_health
+        self._reachability = reachability.Reachability(timers, log_health)
         self._sent_at = math.inf
         self._retry: Callable[[], None] | None = None
         self._retry_at = math.inf
         self._retry_timer: timers_module.TimerHandle | None = None
 
     @property
-    def is_away(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether its last call failed, as far as known."""
-        return self._reach.is_failing
+        return self._reachability.is_unavailable
 
     @property
-    def is_failing(self) -> bool:
+    def is_unresponsive(self) -> bool:
         """Whether it can't be reached, or has not answered for long."""
         waited = self._timers.now() - self._sent_at
-        return self.is_away or waited > self._answers.slow_seconds
+        return (
+            self.is_unavailable
+            or waited > self._log_health.unresponsive_seconds
+        )
 
     @property
     def is_waiting(self) -> bool:
@@ -115,23 +118,23 @@
         return self._retry is not None
 
     @property
-    def is_awaited(self) -> bool:
+    def has_waiting_caller(self) -> bool:
         """Whether somebody waits for it now."""
         now = self._timers.now()
         return any(
-            waiter.awaited_until > now
+            waiter.caller_waits_until > now
             for waiter in self._commits + self._refreshes
         )
 
     @property
-    def was_awaited(self) -> bool:
+    def had_waiting_caller(self) -> bool:
         """Whether it holds something that a caller has relied on since."""
-        return any(waiter.awaited_until > 0 for waiter in self._commits)
+        return any(waiter.caller_waits_until > 0 for waiter in self._commits)
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether nobody waits for this partition."""
-        return not (self._busy or self._commits or self._refreshes)
+        return not (self._is_step_open or self._commits or self._refreshes)
 
     def commit(
         self,
@@ -139,7 +142,7 @@
         timeout: float,
         on_done: Callable[[Any], None],
         on_error: Callable[[errors.HistoryError], None],
-        awaited: float = 0.0,
+        caller_wait: float = 0.0,
     ) -> None:
         """Append an entry; ``on_done`` gets the fold that includes it.
 
@@ -153,7 +156,7 @@
             Seconds for which somebody waits, if the timeout is longer.
         """
         waiter = _Waiter(entry, on_done, on_error)
-        self._wait(self._commits, waiter, timeout, awaited)
+        self._wait(self._commits, waiter, timeout, caller_wait)
 
     def refresh(
         self,
@@ -172,19 +175,19 @@
         waiters: list[_Waiter],
         waiter: _Waiter,
         timeout: float,
-        awaited: float = 0.0,
+        caller_wait: float = 0.0,
     ) -> None:
         waiters.append(waiter)
         waiter.expiry = self._timers.call_later(
             timeout, self._expire, waiters, waiter
         )
-        if timeout <= LONGEST_AWAITED_SECONDS:
-            awaited = timeout
-        if awaited:
-            waiter.awaited_until = self._timers.now() + awaited
-        self._work()
-        if awaited:
-            self.hurry()
+        if timeout <= MAX_CALLER_WAIT_SECONDS:
+            caller_wait = timeout
+        if caller_wait:
+            waiter.caller_waits_until = self._timers.now() + caller_wait
+        self._start_step()
+        if caller_wait:
+            self.expedite_retry()
 
     def _expire(self, waiters: list[_Waiter], waiter: _Waiter) -> None:
         if waiter in waiters:
@@ -199,20 +202,20 @@
                     waiter.expiry.cancel()
                     waiter.on_done(self.fold)
         finally:
-            self._go_on()
+            self._end_step()
 
-    def _work(self) -> None:
-        self.used_at = self._timers.now()
-        if self._busy:
+    def _start_step(self) -> None:
+        self.last_used_at = self._timers.now()
+        if self._is_step_open:
             return
         if self._commits:
-            self._busy = True
-            self._reach.note_try()
-            self._sent_at = self.used_at
+            self._is_step_open = True
+            self._reachability.note_call()
+            self._sent_at = self.last_used_at
             self._append()
         elif self._refreshes:
-            self._busy = True
-            self._reach.note_try()
+            self._is_step_open = True
+            self._reachability.note_call()
             waiting = self._refreshes[:]
             self._read_to(
                 None, lambda: self._release(self._refreshes, waiting)
@@ -220,12 +223,12 @@
 
     def _append(self) -> None:
         entries = [commit.entry for commit in self._commits]
-        count = sizes.first_batch(entries, self._call_bytes)
-        appending.Append(
+        count = sizes.first_batch_length(entries, self._call_bytes)
+        appending.HedgedAppend(
             functools.partial(self._log.append, self._place, entries[:count]),
             self._timers,
-            self._answers.resend_seconds,
-            lambda: self._reach.may_answer,
+            self._log_health.resend_pauses,
+            lambda: self._reachability.may_resend,
             functools.partial(self._appended, self._commits[:count]),
             self._not_appended,
         ).start()
@@ -235,13 +238,17 @@
     ) -> None:
         """Take note that a batch stands in the log."""
         self._note_success()
-        self._answers.note_append(seconds)
+        self._log_health.note_append(seconds)
         self._sent_at = math.inf
         end = first + len(commits)
-        if self.end is None and first == 0 or self.end == first:
+        if (
+            self.next_offset is None
+            and first == 0
+            or self.next_offset == first
+        ):
             for commit in commits:
                 self.fold.apply(commit.entry.value)
-            self.end = end
+            self.next_offset = end
             self._release(self._commits, commits)
         elif not self._is_ordered:
             self._release(self._commits, commits)
@@ -253,102 +260,106 @@
         self._note_failure("append failed", error)
         self._sent_at = math.inf
         is_busy = isinstance(error, keyedlog.LogBusy)
-        self._retry_later(self._go_on, BUSY_RETRY_SECONDS if is_busy else 0.0)
+        self._retry_after_pause(
+            self._end_step, BUSY_RETRY_SECONDS if is_busy else 0.0
+        )
 
-    def retry_in(self, seconds: float) -> None:
+    def schedule_retry(self, seconds: float) -> None:
         """Do what waits for its next try after some time, and not before."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
         self._retry_at = self._timers.now() + seconds
         self._retry_timer = self._timers.call_later(seconds, self._retry_now)
 
-    def hurry(self) -> None:
+    def expedite_retry(self) -> None:
         """Don't wait for a turn in the queue if the log is back.
 
         The queue is for what nobody waits for: a turn timed out in it while
         the log answered others.
         """
-        if self._retry is None or not self._reach.is_unread:
+        if self._retry is None or not self._reachability.can_expedite_retry:
             return
-        pause = self._reach.awaited_pause
+        pause = self._reachability.caller_retry_pause
         if self._timers.now() + pause < self._retry_at:
-            self.retry_in(pause)
+            self.schedule_retry(pause)
 
     def _retry_now(self) -> None:
         retry, self._retry = self._retry, None
         if retry is not None:
-            self._reach.note_try()
+            self._reachability.note_call()
             retry()
 
-    def _retry_later(
-        self, function: Callable[[], None], least: float = 0.0
+    def _retry_after_pause(
+        self, function: Callable[[], None], minimum: float = 0.0
     ) -> None:
         # The pause alone let many partitions come again each second.
         self._retry = function
-        self.retry_in(self._spread(self._reach.next_pause(least)))
+        self.schedule_retry(
+            self._pace_retry(self._reachability.next_pause(minimum))
+        )
 
     def _note_success(self) -> None:
-        if self._reach.note_success():
-            self._on_back()
+        if self._reachability.note_success():
+            self._on_recovered()
 
     def _note_failure(self, text: str, error: keyedlog.KeyedLogError) -> None:
         """Log the first failure in a row, unless no call was made."""
         if isinstance(error, keyedlog.LogBusy):
-            self._reach.note_busy()
+            self._reachability.note_throttled()
             return
-        is_first = not self._reach.has_failed
+        is_first = not self._reachability.has_failed
         if is_first and not isinstance(error, keyedlog.LogDown):
             extra = {"place": str(self._place), "reason": str(error)}
             LOG.info(text, extra=extra)
-        self._reach.note_failure()
+        self._reachability.note_failure()
 
-    def _go_on(self) -> None:
-        self._busy = False
-        self._work()
+    def _end_step(self) -> None:
+        self._is_step_open = False
+        self._start_step()
 
     # -- reading --------------------------------------------------------------
 
-    def _read_to(self, end: int | None, then: Callable[[], None]) -> None:
+    def _read_to(self, end: int | None, on_read: Callable[[], None]) -> None:
         """Read until ``end``, or until the partition's end as of now."""
 
         def on_page(page: keyedlog.LogPage) -> None:
             self._note_success()
             for entry in page.entries:
                 self.fold.apply(entry.value)
-            self.end = page.next
+            self.next_offset = page.next
             target = page.end if end is None else end
-            if self.end >= target:
-                then()
+            if self.next_offset >= target:
+                on_read()
             else:
-                self._read_to(target, then)
+                self._read_to(target, on_read)
 
         def on_error(error: keyedlog.KeyedLogError) -> None:
             if isinstance(error, keyedlog.LogExpired):
-                self._read_newest(end, then)
+                self._read_newest(end, on_read)
             else:
-                self._read_failed(error, end, then)
+                self._read_failed(error, end, on_read)
 
-        self._log.read(self._place, self.end or 0, on_page, on_error)
+        self._log.read(self._place, self.next_offset or 0, on_page, on_error)
 
-    def _read_newest(self, end: int | None, then: Callable) -> None:
+    def _read_newest(self, end: int | None, on_read: Callable) -> None:
         def on_page(page: keyedlog.LogPage) -> None:
             # What stood before a record may have been dropped: nothing that
             # depends on the order may be concluded from what is left.
             self.fold = self._fold_type()
             for entry in page.entries:
                 self.fold.apply(entry.value, is_ordered=False)
-            self.end = page.next
-            self._read_to(end, then)
+            self.next_offset = page.next
+            self._read_to(end, on_read)
 
         self._log.read_newest(
             self._place,
             on_page,
-            lambda error: self._read_failed(error, end, then),
+            lambda error: self._read_failed(error, end, on_read),
         )
 
-    def _read_failed(self, error, end, then) -> None:
+    def _read_failed(self, error, end, on_read) -> None:
         self._note_failure("read failed", error)
         if self._commits or self._refreshes:
-            self._retry_later(lambda: self._read_to(end, then))
+            self._retry_after_pause(lambda: self._read_to(end, on_read))
         else:
-            self._timers.call_later(0, self._go_on)
+            self._timers.call_later(0, self._end_step)
--- a/postspring/histories/partitions.py
+++ b/postspring/histories/partitions.py
@@ -24,13 +24,13 @@
 LOCATION_PARTITIONS = 24
 # A partition that nobody used for this long is forgotten, and read again
 # when it is needed; seconds, above the retention of the users' routes.
-UNUSED_SECONDS = 90.0
+IDLE_SECONDS = 90.0
 SWEEP_SECONDS = 10.0
 # When the log is back, more partitions than this are not tried at once but
 # one after the other: every VM does the same, and they share its rate.
-AT_ONCE = 8
+MAX_IMMEDIATE_RETRIES = 8
 # Appends a second with which a VM catches up, unless it is told otherwise.
-CATCH_UP_RATE = 50.0
+DEFAULT_CATCH_UP_RATE = 50.0
 
 _fold_type_by_subject = {
     keyedlog.Subject.PROGRAMS: fold_module.ProgramFold,
@@ -66,19 +66,19 @@
         self,
         log: keyedlog.KeyedLog,
         timers: timers_module.Timers,
-        catch_up_rate: Callable[[], float] = lambda: CATCH_UP_RATE,
+        catch_up_rate: Callable[[], float] = lambda: DEFAULT_CATCH_UP_RATE,
         sizes: sizes_module.Sizes = sizes_module.Sizes(),
     ):
         self._sizes = sizes
-        self._pace = retry_pace.RetryPace(timers, catch_up_rate)
-        self._caught_up_at = -math.inf
+        self._retry_pacer = retry_pace.RetryPacer(timers, catch_up_rate)
+        self._catch_up_ends_at = -math.inf
         self._log = log
-        self._answers = reachability.LogAnswers(log)
+        self._log_health = reachability.LogHealth(log)
         self._timers = timers
         self._by_place: dict[
             keyedlog.LogPlace, partition_module.Partition
         ] = {}
-        timers.call_every(SWEEP_SECONDS, self._forget_unused)
+        timers.call_every(SWEEP_SECONDS, self._drop_idle)
 
     def find(
         self, place: keyedlog.LogPlace
@@ -95,10 +95,10 @@
                 self._timers,
                 place,
                 _fold_type_by_subject[place.subject],
-                self._answers,
+                self._log_health,
                 self.log_is_back,
                 is_ordered=place.subject is keyedlog.Subject.PROGRAMS,
-                spread=self._pace.pause,
+                pace_retry=self._retry_pacer.allot_pause,
                 call_bytes=self._sizes.call,
             )
             self._by_place[place] = partition
@@ -124,17 +124,17 @@
             return False
         return ref.turn in partition.fold.program_by_turn
 
-    def is_failing(self, place: keyedlog.LogPlace) -> bool:
+    def is_unresponsive(self, place: keyedlog.LogPlace) -> bool:
         """Return whether a partition can't be reached, as far as known."""
-        return self._log.is_down or self.get(place).is_failing
+        return self._log.is_down or self.get(place).is_unresponsive
 
-    def is_away(self, place: keyedlog.LogPlace) -> bool:
+    def is_unavailable(self, place: keyedlog.LogPlace) -> bool:
         """Return whether a partition is known to fail, not just slow."""
-        return self._log.is_down or self.get(place).is_away
+        return self._log.is_down or self.get(place).is_unavailable
 
-    def is_quick(self, place: keyedlog.LogPlace) -> bool:
+    def is_fast(self, place: keyedlog.LogPlace) -> bool:
         """Return whether a partition takes appends at once, as known."""
-        return not self.is_away(place) and self._answers.is_quick
+        return not self.is_unavailable(place) and self._log_health.is_fast
 
     def log_is_back(self) -> None:
         """Do what waits for its next try, spread by the rate.
@@ -142,8 +142,8 @@
         Every partition that gets through says so: what is on its way then
         stays as it was dealt out.  What somebody waits for goes first.
         """
-        self._answers.note()
-        if self._timers.now() < self._caught_up_at:
+        self._log_health.note_answer()
+        if self._timers.now() < self._catch_up_ends_at:
             return
         waiting = [
             partition
@@ -151,22 +151,22 @@
             if partition.is_waiting
         ]
         # Turns that callers had whole are kept by VMs only until then.
-        waiting.sort(key=lambda partition: not partition.was_awaited)
-        self._pace.restart()
-        pauses = [self._pace.pause(0.0) for partition in waiting]
+        waiting.sort(key=lambda partition: not partition.had_waiting_caller)
+        self._retry_pacer.restart()
+        pauses = [self._retry_pacer.allot_pause(0.0) for partition in waiting]
         if not pauses:
             return
-        self._caught_up_at = self._timers.now() + pauses[-1]
-        are_few = len(waiting) <= AT_ONCE
+        self._catch_up_ends_at = self._timers.now() + pauses[-1]
+        are_few = len(waiting) <= MAX_IMMEDIATE_RETRIES
         for partition, seconds in zip(waiting, pauses):
-            partition.retry_in(0.0 if are_few else seconds)
-            if partition.is_awaited:
-                partition.hurry()
+            partition.schedule_retry(0.0 if are_few else seconds)
+            if partition.has_waiting_caller:
+                partition.expedite_retry()
 
     # -- own ------------------------------------------------------------------
 
-    def _forget_unused(self) -> None:
-        oldest = self._timers.now() - UNUSED_SECONDS
+    def _drop_idle(self) -> None:
+        oldest = self._timers.now() - IDLE_SECONDS
         for place, partition in list(self._by_place.items()):
-            if partition.idle and partition.used_at < oldest:
+            if partition.is_idle and partition.last_used_at < oldest:
                 del self._by_place[place]
--- a/postspring/histories/program.py
+++ b/postspring/histories/program.py
@@ -8,7 +8,7 @@
 __all__ = ["Program", "Turn"]
 
 # Turns of the same size that a VM would like to have reserved.
-AHEAD_TURNS = 4
+RESERVE_TURNS = 4
 # Turns that stay free for other VMs when one reserves ahead.
 KEPT_FREE_TURNS = 2
 # One part in so many of the rest may be reserved by a VM.  A line of turns
@@ -33,7 +33,7 @@
     upstream: str = ""
 
     @classmethod
-    def of(cls, record: records.WholeTurn) -> "Turn":
+    def from_record(cls, record: records.WholeTurn) -> "Turn":
         """Return the turn that a record of a whole turn tells of."""
         return cls(
             shares.TurnState.WHOLE,
@@ -115,8 +115,10 @@
         self.turn_by_id: dict[records.TurnId, Turn] = {}
         self.charged = 0
         self.settled = 0
-        self._shares_by_turn: dict[records.TurnId, list[shares.Share]] = {}
-        self._net_by_author: dict[str, int] = {}
+        self._contributions_by_turn: dict[
+            records.TurnId, list[shares.Contribution]
+        ] = {}
+        self._net_reserve_by_author: dict[str, int] = {}
         self._upstream_by_line: dict[str, str] = {}
 
     @property
@@ -124,14 +126,16 @@
         """Tokens that each VM has reserved ahead."""
         return {
             author: net
-            for author, net in self._net_by_author.items()
+            for author, net in self._net_reserve_by_author.items()
             if net > 0
         }
 
     @property
     def reserved(self) -> int:
         """Tokens that all VMs have reserved ahead."""
-        return sum(net for net in self._net_by_author.values() if net > 0)
+        return sum(
+            net for net in self._net_reserve_by_author.values() if net > 0
+        )
 
     def open(
         self, record: records.OpenedTurn, is_ordered: bool = True
@@ -144,25 +148,25 @@
             All that stands before the record in the log was folded before
             it.  Otherwise it is judged when its author asks.
         """
-        self._join(record.turn, Turn(shares.TurnState.OPEN))
-        self._add(record, is_ordered)
-        return self.judge(record).state if is_ordered else None
+        self._merge_turn(record.turn, Turn(shares.TurnState.OPEN))
+        self._add_record(record, is_ordered)
+        return self.decide(record).state if is_ordered else None
 
     def complete(
         self, record: records.WholeTurn, is_ordered: bool = True
     ) -> None:
         """Fold the record of a turn that ran to its end."""
-        self._join(record.turn, Turn.of(record))
-        self._add(record, is_ordered)
+        self._merge_turn(record.turn, Turn.from_record(record))
+        self._add_record(record, is_ordered)
 
     def end(self, record: records.EndedTurn, is_ordered: bool = True) -> None:
         """Fold the record of a turn that ended without an answer."""
-        self._join(record.turn, Turn(shares.TurnState.ENDED))
-        self._add(record, is_ordered)
+        self._merge_turn(record.turn, Turn(shares.TurnState.ENDED))
+        self._add_record(record, is_ordered)
         if is_ordered:
-            self.note_place(record.line, record.upstream)
+            self.note_upstream(record.line, record.upstream)
 
-    def note_place(self, line: str, upstream: str) -> None:
+    def note_upstream(self, line: str, upstream: str) -> None:
         """Take note that an upstream has a line's prompt in memory."""
         if upstream:
             self._upstream_by_line.pop(line, None)
@@ -193,33 +197,35 @@
             return found
         return None
 
-    def judge(self, record) -> shares.Judgement:
+    def decide(self, record) -> shares.Decision:
         """Return what a folded record comes to; its first place counts.
 
         One that was read out of order is judged against all that is known:
         more than stood before it.
         """
-        share = self._share(record)
-        entry = share.find(_entry(record))
+        contribution = self._contribution_of(record)
+        entry = contribution.find(_entry(record))
         if entry is None:
-            return shares.Judgement(shares.TurnState.DEFERRED, False)
-        if entry.judgement is None:
-            entry.judgement = self._judge(record, share, entry)
-        return entry.judgement
+            return shares.Decision(shares.TurnState.DEFERRED, False)
+        if entry.decision is None:
+            entry.decision = self._decide(record, contribution, entry)
+        return entry.decision
 
-    def has_end(self, record: records.EndedTurn) -> bool:
+    def has_settlement(self, record: records.EndedTurn) -> bool:
         """Return whether the record of a turn's end was folded."""
         entry = _entry(record)
         return any(
-            share.author == record.claim.author
-            and share.find(entry) is not None
-            for share in self._shares_by_turn.get(record.turn, ())
+            contribution.author == record.claim.author
+            and contribution.find(entry) is not None
+            for contribution in self._contributions_by_turn.get(
+                record.turn, ()
+            )
         )
 
     def state_after_run(self, turn: records.TurnId) -> shares.TurnState | None:
         """Return the state of a turn that has ended and may have run."""
-        found = self._shares_by_turn.get(turn, ())
-        if any(share.has_run for share in found):
+        found = self._contributions_by_turn.get(turn, ())
+        if any(contribution.has_run for contribution in found):
             return self.turn_by_id[turn].state
         return None
 
@@ -227,7 +233,7 @@
         """Return whether no turn of this size can ever fit again."""
         return budget is not None and self.settled + ceiling > budget
 
-    def room_ahead(
+    def reservable_tokens(
         self, ceiling: int, budget: int | None, own: int, used: int
     ) -> int:
         """Return what a VM may reserve for its next turns.
@@ -246,71 +252,76 @@
             return 0
         rest = budget - self.charged - self.reserved - used
         spare = min(rest // RESERVED_PART, rest - KEPT_FREE_TURNS * ceiling)
-        added = min(AHEAD_TURNS * ceiling - own, spare)
+        added = min(RESERVE_TURNS * ceiling - own, spare)
         return added if added > 0 and own + added >= ceiling else 0
 
     # -- own ------------------------------------------------------------------
 
-    def _join(self, turn_id: records.TurnId, turn: Turn) -> None:
+    def _merge_turn(self, turn_id: records.TurnId, turn: Turn) -> None:
         known = self.turn_by_id.get(turn_id)
         if known is None or known.rank < turn.rank:
             self.turn_by_id[turn_id] = turn
 
-    def _share(self, record) -> shares.Share:
-        found = self._shares_by_turn.setdefault(record.turn, [])
-        for share in found:
-            if share.author == record.claim.author:
-                return share
-        found.append(shares.Share(record.claim.author))
+    def _contribution_of(self, record) -> shares.Contribution:
+        found = self._contributions_by_turn.setdefault(record.turn, [])
+        for contribution in found:
+            if contribution.author == record.claim.author:
+                return contribution
+        found.append(shares.Contribution(record.claim.author))
         return found[-1]
 
-    def _add(self, record, is_ordered: bool) -> None:
-        share = self._share(record)
+    def _add_record(self, record, is_ordered: bool) -> None:
+        contribution = self._contribution_of(record)
         entry = _entry(record)
-        if share.find(entry) is not None:
+        if contribution.find(entry) is not None:
             return
-        self.charged -= self._charge(record.turn)
-        self.settled -= share.settled
-        before = share.reserve
-        share.entries.append(entry)
-        self.charged += self._charge(record.turn)
-        self.settled += share.settled
-        net = self._net_by_author.get(share.author, 0)
-        self._net_by_author[share.author] = net + share.reserve - before
+        self.charged -= self._charged_tokens(record.turn)
+        self.settled -= contribution.settled
+        before = contribution.reserve
+        contribution.entries.append(entry)
+        self.charged += self._charged_tokens(record.turn)
+        self.settled += contribution.settled
+        net = self._net_reserve_by_author.get(contribution.author, 0)
+        self._net_reserve_by_author[contribution.author] = (
+            net + contribution.reserve - before
+        )
         if is_ordered:
-            entry.judgement = self._judge(record, share, entry)
+            entry.decision = self._decide(record, contribution, entry)
 
-    def _charge(self, turn: records.TurnId) -> int:
+    def _charged_tokens(self, turn: records.TurnId) -> int:
         """Return what a turn is charged with.
 
         Once it has run its openings count no more, whoever wrote them.
         """
-        found = self._shares_by_turn[turn]
-        if any(share.has_run for share in found):
-            return sum(share.settled for share in found)
-        return sum(share.charged for share in found)
+        found = self._contributions_by_turn[turn]
+        if any(contribution.has_run for contribution in found):
+            return sum(contribution.settled for contribution in found)
+        return sum(contribution.charged for contribution in found)
 
-    def _judge(self, record, share, entry) -> shares.Judgement:
+    def _decide(self, record, contribution, entry) -> shares.Decision:
         """Judge a record by all that is folded, itself among it."""
         claim = record.claim
         total = self.charged + self.reserved
-        holds = claim.budget is None or total <= claim.budget
+        reserve_fits = claim.budget is None or total <= claim.budget
         if entry.tokens is not None:
-            return shares.Judgement(None, holds)
-        state = self._use_of_id(record.turn, share)
+            return shares.Decision(None, reserve_fits)
+        state = self._conflicting_state(record.turn, contribution)
         if state is not None:
-            return shares.Judgement(state, False)
-        if holds:
-            return shares.Judgement(shares.TurnState.OPEN, True)
-        net = max(0, self._net_by_author[share.author])
+            return shares.Decision(state, False)
+        if reserve_fits:
+            return shares.Decision(shares.TurnState.OPEN, True)
+        net = max(0, self._net_reserve_by_author[contribution.author])
         if total - min(claim.granted, net) <= claim.budget:
-            return shares.Judgement(shares.TurnState.OPEN, False)
-        if self._certain_beside(share) + claim.ceiling > claim.budget:
-            return shares.Judgement(shares.TurnState.REFUSED, False)
-        return shares.Judgement(shares.TurnState.DEFERRED, False)
-
-    def _use_of_id(
-        self, turn: records.TurnId, own: shares.Share
+            return shares.Decision(shares.TurnState.OPEN, False)
+        if (
+            self._certain_charge_of_others(contribution) + claim.ceiling
+            > claim.budget
+        ):
+            return shares.Decision(shares.TurnState.REFUSED, False)
+        return shares.Decision(shares.TurnState.DEFERRED, False)
+
+    def _conflicting_state(
+        self, turn: records.TurnId, own: shares.Contribution
     ) -> shares.TurnState | None:
         """Return what keeps a turn's id from being used, if anything does."""
         ended = self.state_after_run(turn)
@@ -318,24 +329,24 @@
             return ended
         if own.is_settled:
             return shares.TurnState.DEFERRED
-        for share in self._shares_by_turn[turn]:
-            if share is not own and not share.is_settled:
+        for contribution in self._contributions_by_turn[turn]:
+            if contribution is not own and not contribution.is_settled:
                 return shares.TurnState.TAKEN
         return None
 
-    def _certain_beside(self, own: shares.Share) -> int:
+    def _certain_charge_of_others(self, own: shares.Contribution) -> int:
         """Return what turns are charged with that ran, or surely may."""
         return self.settled + sum(
-            share.charged
-            for turn, found in self._shares_by_turn.items()
+            contribution.charged
+            for turn, found in self._contributions_by_turn.items()
             if self.state_after_run(turn) is None
-            for share in found
-            if share is not own and share.may_run
+            for contribution in found
+            if contribution is not own and contribution.may_run
         )
 
 
-def _entry(record) -> shares.Entry:
+def _entry(record) -> shares.LedgerEntry:
     if isinstance(record, records.OpenedTurn):
-        return shares.Entry(record.claim)
+        return shares.LedgerEntry(record.claim)
     is_whole = isinstance(record, records.WholeTurn)
-    return shares.Entry(record.claim, record.tokens, is_whole)
+    return shares.LedgerEntry(record.claim, record.tokens, is_whole)
--- a/postspring/histories/reading.py
+++ b/postspring/histories/reading.py
@@ -23,7 +23,7 @@
     accounts: accounts.LocalAccounts
     _partitions: partitions.Partitions
     _held_by_ref: dict[records.TurnRef, records.WholeTurn]
-    _end_copies: copies.EndCopies
+    _ended_replicas: copies.EndedTurnReplicas
 
     def charged(self, program: records.ProgramId) -> int:
         """Return what the records here charge a program with."""
@@ -35,21 +35,23 @@
     ) -> dict[records.TurnId, int]:
         """Return tokens of turns that ran at a home, and are not charged."""
         return {
-            **self._end_copies.tokens_by_turn(program),
-            **self.accounts.unsettled_at_home(program),
+            **self._ended_replicas.tokens_by_turn(program),
+            **self.accounts.unsettled_offline(program),
         }
 
     @property
     def knows_homes(self) -> bool:
         """Whether any turn that ran at a home may not be charged yet."""
-        return self.accounts.has_homes or len(self._end_copies) > 0
+        return (
+            self.accounts.has_offline_accounts or len(self._ended_replicas) > 0
+        )
 
     def home_left(self, program: records.ProgramId) -> int:
         """Return what a program may still spend here without the log."""
         place = partitions.place_of_program(program)
-        if not self._partitions.is_failing(place):
+        if not self._partitions.is_unresponsive(place):
             return 0
-        spent = self.accounts.unsettled_at_home(program).values()
+        spent = self.accounts.unsettled_offline(program).values()
         return max(0, self.accounts.home_tokens(program) - sum(spent))
 
     def fits_beside(
@@ -95,7 +97,7 @@
 
     def known_chain(self, ref: records.TurnRef) -> chains.Chain | None:
         """Return a chain if this VM has all of it in memory."""
-        return chains.collect(self.known_turn, ref)[0]
+        return chains.collect_chain(self.known_turn, ref)[0]
 
     def ref_of(
         self, program: records.ProgramId, turn: records.TurnId
@@ -117,7 +119,7 @@
         whole = self._partitions.whole_turn(ref)
         held = self._held_by_ref.get(ref)
         if whole is None and held is not None:
-            whole = program_module.Turn.of(held)
+            whole = program_module.Turn.from_record(held)
         return whole
 
     def is_logged(self, ref: records.TurnRef) -> bool:
@@ -128,7 +130,7 @@
         """Return whether this VM has any turn of a program in memory."""
         return (
             bool(self._partitions.program(program).turn_by_id)
-            or self.accounts.is_home(program)
+            or self.accounts.has_offline_account(program)
             or self._holds(program)
         )
 
@@ -139,7 +141,7 @@
 
         Not so if this VM does not know the turn that is to be continued.
         """
-        if self.accounts.is_home(program) or self._holds(program):
+        if self.accounts.has_offline_account(program) or self._holds(program):
             return False
         if previous is None:
             return True
@@ -155,11 +157,11 @@
         if previous is not None:
             if self.known_chain(self.ref_of(program, previous)) is None:
                 return False
-        is_away = self._partitions.is_failing(
+        is_unresponsive = self._partitions.is_unresponsive(
             partitions.place_of_program(program)
         )
         known = self._partitions.program(program)
-        return self.accounts.can_take(known, ceiling, is_away)
+        return self.accounts.can_admit(known, ceiling, is_unresponsive)
 
     def refresh_program(
         self,
@@ -167,7 +169,7 @@
         timeout: float,
         on_done: Callable[[], None],
         on_error: openings.OnError,
-        waits_long: bool = False,
+        keeps_timeout: bool = False,
     ) -> None:
         """Fold all records of a program's partition.
 
@@ -177,7 +179,7 @@
             Nobody waits: keep the whole timeout while the log is away, too.
         """
         place = partitions.place_of_program(program)
-        if self._partitions.is_failing(place) and not waits_long:
+        if self._partitions.is_unresponsive(place) and not keeps_timeout:
             timeout = min(timeout, FAILING_TIMEOUT_SECONDS)
         self._partitions.get(place).refresh(
             timeout, lambda fold: on_done(), on_error
@@ -210,6 +212,6 @@
 
     def _holds(self, program: records.ProgramId) -> bool:
         """Return whether a turn of a program is not in the log yet."""
-        if self._end_copies.knows(program):
+        if self._ended_replicas.has_program(program):
             return True
         return any(ref.program == program for ref in self._held_by_ref)
--- a/postspring/histories/recording.py
+++ b/postspring/histories/recording.py
@@ -14,9 +14,9 @@
     "append_location",
     "append_record",
     "append_whole",
-    "hurry",
-    "is_away",
+    "expedite_retry",
     "is_late",
+    "is_unavailable",
 ]
 
 # How long records that have to get into the log are offered to it; seconds,
@@ -25,7 +25,7 @@
 # How long a caller waits for its turn's record, in seconds: until other VMs
 # keep copies (0.35 s), with room.  In the queue of retries the record of a
 # turn that had ended came after what was left of an outage.
-AWAITED_SECONDS = 1.0
+CALLER_WAIT_SECONDS = 1.0
 
 
 def append_record(
@@ -34,14 +34,14 @@
     timeout: float,
     on_done: Callable[[fold_module.ProgramFold], None],
     on_error: Callable[[errors.HistoryError], None],
-    awaited: float = 0.0,
+    caller_wait: float = 0.0,
 ) -> None:
     """Append a record to its program's partition."""
     place = partitions_module.place_of_program(record.program)
     data = records.encode_record(record)
     entry = keyedlog.LogEntry(records.record_key(record, data), data)
     partition = partitions.get(place)
-    partition.commit(entry, timeout, on_done, on_error, awaited)
+    partition.commit(entry, timeout, on_done, on_error, caller_wait)
 
 
 def append_location(
@@ -49,14 +49,14 @@
     record: records.WholeTurn,
     on_done: Callable[[], None],
     on_error: Callable[[errors.HistoryError], None],
-    awaited: float = 0.0,
+    caller_wait: float = 0.0,
 ) -> None:
     """Append where a whole turn stands."""
     place = partitions_module.place_of_location(record.turn)
     location = records.TurnLocation(record.turn, record.program)
     entry = keyedlog.LogEntry(record.turn, records.encode_record(location))
     partitions.get(place).commit(
-        entry, KEEP_SECONDS, lambda fold: on_done(), on_error, awaited
+        entry, KEEP_SECONDS, lambda fold: on_done(), on_error, caller_wait
     )
 
 
@@ -66,7 +66,7 @@
     on_folded: Callable[[fold_module.ProgramFold], None],
     on_done: Callable[[], None],
     on_error: Callable[[errors.HistoryError], None],
-    awaited: float,
+    caller_wait: float,
 ) -> None:
     """Append a whole turn and where it stands.
 
@@ -79,36 +79,42 @@
     awaited : float
         Seconds for which a caller waits for that.
     """
-    both = completion.Both(on_done)
+    both = completion.PairLatch(on_done)
 
     def folded(fold: fold_module.ProgramFold) -> None:
         on_folded(fold)
-        both.one_done()
+        both.count_down()
 
-    append_record(partitions, record, KEEP_SECONDS, folded, on_error, awaited)
-    append_location(partitions, record, both.one_done, on_error, awaited)
+    append_record(
+        partitions, record, KEEP_SECONDS, folded, on_error, caller_wait
+    )
+    append_location(partitions, record, both.count_down, on_error, caller_wait)
 
 
-def hurry(
+def expedite_retry(
     partitions: partitions_module.Partitions, record: records.WholeTurn
 ) -> None:
     """Have what waits to record a whole turn tried now, if the log is back."""
     for place in _places_of(record):
-        partitions.get(place).hurry()
+        partitions.get(place).expedite_retry()
 
 
-def is_away(
+def is_unavailable(
     partitions: partitions_module.Partitions, record: records.WholeTurn
 ) -> bool:
     """Return whether a whole turn can't be recorded now, as far as known."""
-    return any(partitions.is_away(place) for place in _places_of(record))
+    return any(
+        partitions.is_unavailable(place) for place in _places_of(record)
+    )
 
 
 def is_late(
     partitions: partitions_module.Partitions, record: records.WholeTurn
 ) -> bool:
     """Return whether recording a whole turn fails, or takes unusually long."""
-    return any(partitions.is_failing(place) for place in _places_of(record))
+    return any(
+        partitions.is_unresponsive(place) for place in _places_of(record)
+    )
 
 
 def _places_of(record: records.WholeTurn) -> tuple[keyedlog.LogPlace, ...]:
--- a/postspring/histories/records.py
+++ b/postspring/histories/records.py
@@ -45,23 +45,23 @@
 
 
 # A key's length is one byte in the platform's format.
-LONGEST_KEY_BYTES = 255
+MAX_KEY_BYTES = 255
 # Of a key: the digest in hexadecimal and two separators.
-KEY_REST_BYTES = 18
+KEY_OVERHEAD_BYTES = 18
 
 _type_by_kind: dict[str, type] = {}
 _kind_by_type: dict[type, str] = {}
 
 
-def _record(kind: str) -> Callable[[type], type]:
+def _register(kind: str) -> Callable[[type], type]:
     """Return a decorator that registers a record type."""
 
-    def add(cls: type) -> type:
+    def register(cls: type) -> type:
         _type_by_kind[kind] = cls
         _kind_by_type[cls] = kind
         return cls
 
-    return add
+    return register
 
 
 class Claim(NamedTuple):
@@ -99,7 +99,7 @@
     returned: int = 0
 
 
-@_record("open")
+@_register("open")
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenedTurn:
     """A VM is about to run a turn; its ceiling is charged until it ends."""
@@ -109,7 +109,7 @@
     claim: Claim
 
 
-@_record("whole")
+@_register("whole")
 @dataclasses.dataclass(frozen=True, slots=True)
 class WholeTurn:
     """A turn ran to its end.
@@ -137,7 +137,7 @@
     upstream: str = ""
 
 
-@_record("ended")
+@_register("ended")
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedTurn:
     """A turn ended without becoming a part of the history.
@@ -161,7 +161,7 @@
     upstream: str = ""
 
 
-@_record("at")
+@_register("at")
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnLocation:
     """Among which program's records a whole turn stands."""
@@ -188,7 +188,7 @@
     (True, False)
     """
     ids = len(program.encode()) + len(turn.encode())
-    return ids + KEY_REST_BYTES <= LONGEST_KEY_BYTES
+    return ids + KEY_OVERHEAD_BYTES <= MAX_KEY_BYTES
 
 
 def record_key(record: Record, data: bytes) -> str:
@@ -222,7 +222,7 @@
         # Records of an earlier version lack the last fields.
         fields = dict(zip(cls.__slots__, values))
         for name, value in fields.items():
-            fields[name] = _checked(name, value)
+            fields[name] = _checked_field(name, value)
         return cls(**fields)
     except (
         cbor2.CBORDecodeError,
@@ -245,12 +245,12 @@
 }
 
 
-def _checked(name: str, value: Any) -> Any:
+def _checked_field(name: str, value: Any) -> Any:
     """Return a field's value; it comes from outside."""
     if name == "claim":
-        return _claim(value)
+        return _checked_claim(value)
     if name == "parent":
-        return None if value is None else _ref(value)
+        return None if value is None else _checked_ref(value)
     if type(value) is not _TYPE_BY_FIELD[name]:
         raise ValueError(f"{name} is a {type(value).__name__}")
     if type(value) is int and value < 0:
@@ -258,7 +258,7 @@
     return value
 
 
-def _claim(value: Any) -> Claim:
+def _checked_claim(value: Any) -> Claim:
     claim = Claim(*value)
     counts = [claim.ceiling, claim.granted, claim.returned]
     if claim.budget is not None:
@@ -272,7 +272,7 @@
     return claim
 
 
-def _ref(value: Any) -> TurnRef:
+def _checked_ref(value: Any) -> TurnRef:
     program, turn = value
     if not isinstance(program, str) or not isinstance(turn, str):
         raise ValueError("a parent is no pair of texts")
--- a/postspring/histories/retry_pace.py
+++ b/postspring/histories/retry_pace.py
@@ -6,16 +6,18 @@
 
 from postspring.transport import timers as timers_module
 
-__all__ = ["RetryPace"]
+__all__ = [
+    "RetryPacer",
+]
 
 # Retries are this much further apart than the rate says, by chance: so the
 # VMs don't stay in step, and all together stay below the rate.
-LONGEST_STRETCH = 1.2
+MAX_JITTER_FACTOR = 1.2
 # Tries a second that a VM may make however many there are.
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 
 
-class RetryPace:
+class RetryPacer:
     """Deals out turns to try again.
 
     Explanation
@@ -37,14 +39,14 @@
     ):
         self._timers = timers
         self._rate = rate
-        self._free_at = -math.inf
+        self._next_slot_at = -math.inf
 
-    def pause(self, least: float) -> float:
+    def allot_pause(self, minimum: float) -> float:
         """Return the seconds until a turn, no less than ``least``."""
         now = self._timers.now()
-        turn = max(now, self._free_at)
-        self._free_at = turn + self._distance()
-        return max(least, turn - now)
+        slot = max(now, self._next_slot_at)
+        self._next_slot_at = slot + self._interval()
+        return max(minimum, slot - now)
 
     def restart(self) -> None:
         """Deal anew from now on: the turns that were dealt don't count.
@@ -52,8 +54,8 @@
         What got through just now had the first one: 64 VMs that each had
         another at once went beyond the rate in the first second.
         """
-        self._free_at = self._timers.now() + self._distance()
+        self._next_slot_at = self._timers.now() + self._interval()
 
-    def _distance(self) -> float:
-        stretch = random.uniform(1.0, LONGEST_STRETCH)
-        return stretch / max(LEAST_RATE, self._rate())
+    def _interval(self) -> float:
+        jitter = random.uniform(1.0, MAX_JITTER_FACTOR)
+        return jitter / max(MIN_RATE, self._rate())
--- a/postspring/histories/shares.py
+++ b/postspring/histories/shares.py
@@ -6,7 +6,12 @@
 
 from postspring.histories import records
 
-__all__ = ["Entry", "Judgement", "Share", "TurnState"]
+__all__ = [
+    "Contribution",
+    "Decision",
+    "LedgerEntry",
+    "TurnState",
+]
 
 
 class TurnState(enum.Enum):
@@ -27,7 +32,7 @@
     ENDED = "ended"
 
 
-class Judgement(NamedTuple):
+class Decision(NamedTuple):
     """What a record comes to at its place in the log.
 
     Parameters
@@ -40,20 +45,20 @@
     """
 
     state: TurnState | None
-    holds: bool
+    reserve_fits: bool
 
 
 @dataclasses.dataclass(slots=True)
-class Entry:
+class LedgerEntry:
     """One record; ``tokens`` is None in one that opens the turn."""
 
     claim: records.Claim
     tokens: int | None = None
     is_whole: bool = False
-    judgement: Judgement | None = None
+    decision: Decision | None = None
 
 
-class Share:
+class Contribution:
     """A set of records: neither order nor repetition matters.
 
     Explanation
@@ -67,9 +72,9 @@
 
     def __init__(self, author: str):
         self.author = author
-        self.entries: list[Entry] = []
+        self.entries: list[LedgerEntry] = []
 
-    def find(self, entry: Entry) -> Entry | None:
+    def find(self, entry: LedgerEntry) -> LedgerEntry | None:
         """Return the entry of the same record."""
         for known in self.entries:
             if (
@@ -98,8 +103,8 @@
     def may_run(self) -> bool:
         """Whether the turn is open, and allowed to run by its place."""
         return not self.is_settled and all(
-            entry.judgement is not None
-            and entry.judgement.state is TurnState.OPEN
+            entry.decision is not None
+            and entry.decision.state is TurnState.OPEN
             for entry in self.entries
         )
 
--- a/postspring/histories/sizes.py
+++ b/postspring/histories/sizes.py
@@ -6,13 +6,16 @@
 
 from postspring import keyedlog
 
-__all__ = ["Sizes", "first_batch"]
+__all__ = [
+    "Sizes",
+    "first_batch_length",
+]
 
 # Bytes that an entry takes beside its key and value.
-ENTRY_BYTES = 5
+ENTRY_OVERHEAD_BYTES = 5
 # Bytes of a turn's record beside what went in and came out: ids of two turns,
 # the claim, names of a VM and an upstream.
-TURN_BYTES = 2048
+TURN_OVERHEAD_BYTES = 2048
 # Of a record this much stays for what comes out of a turn, in bytes: answers
 # have some ten KB.
 OUTPUT_BYTES = 32 * 1024
@@ -35,7 +38,7 @@
     @property
     def turn(self) -> int:
         """Most that may go into a turn and come out of it."""
-        return self.record - TURN_BYTES
+        return self.record - TURN_OVERHEAD_BYTES
 
     @property
     def input(self) -> int:
@@ -43,7 +46,9 @@
         return self.turn - OUTPUT_BYTES
 
 
-def first_batch(entries: Sequence[keyedlog.LogEntry], most: int) -> int:
+def first_batch_length(
+    entries: Sequence[keyedlog.LogEntry], max_bytes: int
+) -> int:
     """Return how many entries go into the first call; one at least.
 
     Examples
@@ -53,13 +58,13 @@
     (2, 1)
     """
     total = 0
-    for count, size in enumerate(_sizes(entries)):
+    for count, size in enumerate(_entry_sizes(entries)):
         total += size
-        if total > most and count:
+        if total > max_bytes and count:
             return count
     return len(entries)
 
 
-def _sizes(entries: Sequence[keyedlog.LogEntry]) -> Iterator[int]:
+def _entry_sizes(entries: Sequence[keyedlog.LogEntry]) -> Iterator[int]:
     for entry in entries:
-        yield ENTRY_BYTES + len(entry.key.encode()) + len(entry.value)
+        yield ENTRY_OVERHEAD_BYTES + len(entry.key.encode()) + len(entry.value)
--- a/postspring/histories/tests/test_accounts.py
+++ b/postspring/histories/tests/test_accounts.py
@@ -16,11 +16,11 @@
         self.program = histories.Program("p")
         claim = histories.Claim("vm", 0, 100, granted=30)
         self.program.end(histories.EndedTurn("p", "r", claim, 0))
-        self.accounts.granted("p", 30, holds=True)
+        self.accounts.note_granted("p", 30, reserve_fits=True)
 
     def take(self, turn, ceiling=10, budget=100, away=False):
         """Ask for the right to run a turn."""
-        return self.accounts.take(self.program, turn, ceiling, budget, away)
+        return self.accounts.admit(self.program, turn, ceiling, budget, away)
 
 
 class ReserveTest(AccountsCase):
@@ -33,29 +33,29 @@
 
     def test_an_ended_turn_uses_what_it_spent(self):
         ticket = self.take("a", ceiling=30)
-        self.accounts.spent(ticket, 5)
+        self.accounts.note_spent(ticket, 5)
         self.assertIsNotNone(self.take("b", ceiling=25))
 
     def test_a_settled_turn_is_counted_by_the_log(self):
         ticket = self.take("a", ceiling=30)
-        self.accounts.spent(ticket, 5)
-        self.accounts.settle(ticket, 5)
+        self.accounts.note_spent(ticket, 5)
+        self.accounts.note_settled(ticket, 5)
         self.assertIsNone(self.take("b", ceiling=26))
         self.assertIsNotNone(self.take("c", ceiling=25))
 
     def test_what_is_given_back_is_not_used(self):
-        self.assertEqual(30, self.accounts.give_back(self.program))
+        self.assertEqual(30, self.accounts.release_idle(self.program))
         self.assertIsNone(self.take("a"))
 
     def test_what_turns_under_way_may_use_is_not_given_back(self):
         self.take("a", ceiling=20)
-        self.assertEqual(10, self.accounts.give_back(self.program))
+        self.assertEqual(10, self.accounts.release_idle(self.program))
 
     def test_what_did_not_fit_is_given_back_and_not_used(self):
-        self.accounts.granted("p", 15, holds=False)
+        self.accounts.note_granted("p", 15, reserve_fits=False)
         self.assertIsNone(self.take("a", ceiling=31))
-        self.assertEqual(45, self.accounts.give_back(self.program))
-        self.assertEqual(0, self.accounts.give_back(self.program))
+        self.assertEqual(45, self.accounts.release_idle(self.program))
+        self.assertEqual(0, self.accounts.release_idle(self.program))
 
     def test_what_only_others_name_is_not_used(self):
         claim = histories.Claim("vm", 10, 100, granted=50)
@@ -68,9 +68,9 @@
         self.assertIsNone(self.take("a"))
 
     def test_a_bounded_number_of_programs_is_kept_in_mind(self):
-        most = histories.accounts.MOST_RESERVES
+        most = histories.accounts.MAX_RESERVES
         for number in range(most):
-            self.accounts.granted(f"q{number}", 30, holds=True)
+            self.accounts.note_granted(f"q{number}", 30, reserve_fits=True)
         self.assertIsNone(self.take("a"))
 
     def test_no_budget_means_no_bound(self):
@@ -85,42 +85,42 @@
         self.program = histories.Program("p")
 
     def test_only_while_the_log_is_away(self):
-        self.accounts.make_home("p", 100, is_certain=True)
+        self.accounts.open_offline_account("p", 100, is_certain=True)
         self.assertIsNone(self.take("a"))
         self.assertIs(HOME, self.take("a", away=True).origin)
 
     def test_what_the_log_charges_counts(self):
-        self.accounts.make_home("p", 100, is_certain=True)
+        self.accounts.open_offline_account("p", 100, is_certain=True)
         self.program.charged = 95
         self.assertIsNone(self.take("a", away=True))
 
     def test_an_uncertain_home_limits_a_turn(self):
-        self.accounts.make_home("p", 10, is_certain=False)
+        self.accounts.open_offline_account("p", 10, is_certain=False)
         ticket = self.take("a", away=True)
-        self.accounts.spent(ticket, 4)
+        self.accounts.note_spent(ticket, 4)
         self.assertEqual(6, self.take("b", away=True).limit)
 
     def test_it_starts_no_turn_with_little_left(self):
-        self.accounts.make_home("p", 10, is_certain=False)
-        self.accounts.spent(self.take("a", away=True), 6)
+        self.accounts.open_offline_account("p", 10, is_certain=False)
+        self.accounts.note_spent(self.take("a", away=True), 6)
         self.assertIsNone(self.take("b", away=True))
 
     def test_others_are_told_of_its_tokens(self):
-        self.accounts.make_home("p", 100, is_certain=True)
+        self.accounts.open_offline_account("p", 100, is_certain=True)
         ticket = self.take("a", away=True)
-        self.accounts.spent(ticket, 4)
+        self.accounts.note_spent(ticket, 4)
         self.assertEqual(100, self.accounts.home_tokens("p"))
-        self.accounts.settle(ticket, 4)
+        self.accounts.note_settled(ticket, 4)
         self.assertEqual(96, self.accounts.home_tokens("p"))
 
     def test_it_ends_when_all_is_recorded(self):
-        self.accounts.make_home("p", 100, is_certain=True)
+        self.accounts.open_offline_account("p", 100, is_certain=True)
         ticket = self.take("a", away=True)
-        self.accounts.close_home("p")
-        self.assertTrue(self.accounts.is_home("p"))
-        self.accounts.settle(ticket, 4)
-        self.accounts.close_home("p")
-        self.assertFalse(self.accounts.is_home("p"))
+        self.accounts.close_offline_account("p")
+        self.assertTrue(self.accounts.has_offline_account("p"))
+        self.accounts.note_settled(ticket, 4)
+        self.accounts.close_offline_account("p")
+        self.assertFalse(self.accounts.has_offline_account("p"))
 
 
 class ReservedInTheLogTest(unittest.TestCase):
@@ -130,7 +130,9 @@
         self.fold = histories.ProgramFold()
         self.program = self.fold.program("p")
         self.claims_by_author = {
-            author: histories.claims.Claims(histories.LocalAccounts(author))
+            author: histories.claims.ClaimWriter(
+                histories.LocalAccounts(author)
+            )
             for author in ("one", "two", "three")
         }
 
@@ -140,11 +142,11 @@
             "p", turn, ceiling, budget, histories.Origin.LOG
         )
         claims = self.claims_by_author[author]
-        record = claims.opening(self.program, ticket)
+        record = claims.opening_record(self.program, ticket)
         self.program.open(record)
-        state, ticket = claims.opened(self.fold, record, ticket)
+        state, ticket = claims.note_opened(self.fold, record, ticket)
         if state is not histories.TurnState.OPEN:
-            self.program.end(claims.given_up(record))
+            self.program.end(claims.withdrawal_record(record))
         return state
 
     def complete(self, turn, author, tokens, from_reserve):
--- a/postspring/histories/tests/test_awaited.py
+++ b/postspring/histories/tests/test_awaited.py
@@ -54,9 +54,9 @@
         """Open a turn with the timeout of a caller."""
         return self.vm.open(turn, program=program, timeout=TIMEOUT)
 
-    def is_failing(self, program=LAST):
+    def is_unresponsive(self, program=LAST):
         """Return whether the VM takes a program's partition to be away."""
-        return self.vm.journal._partitions.is_failing(
+        return self.vm.journal._partitions.is_unresponsive(
             histories.partitions.place_of_program(program)
         )
 
@@ -74,7 +74,9 @@
         self.assertIsNone(self.vm.chain("u", LAST, timeout=TIMEOUT))
 
     def test_a_home_does_not_go_on(self):
-        self.vm.journal.accounts.make_home(LAST, 100, is_certain=True)
+        self.vm.journal.accounts.open_offline_account(
+            LAST, 100, is_certain=True
+        )
         self.assertIs(histories.TurnState.OPEN, self.open("u"))
         self.assertIs(histories.Origin.HOME, self.vm.tickets["u"].origin)
         self.vm.end("u", 0)
@@ -101,7 +103,7 @@
         partition.refresh(2.0, heard.append, self.fail)
         self.faults.down = False
         self.clock.run_for(1.0)
-        self.assertFalse(self.is_failing())
+        self.assertFalse(self.is_unresponsive())
         self.assertTrue(heard)
 
     def test_what_nobody_waits_for_keeps_its_turn(self):
@@ -162,7 +164,7 @@
 
     def test_all_partitions_are_failing(self):
         for number in range(PROGRAMS):
-            self.assertTrue(self.is_failing(f"p{number}"))
+            self.assertTrue(self.is_unresponsive(f"p{number}"))
 
     def test_a_partition_that_fails_by_itself_is_failing(self):
         """Others answer; its homes are the only way."""
@@ -174,8 +176,10 @@
         error = self.open("u")
         self.assertIsInstance(error, histories.JournalUnavailable)
         self.vm.open("y", program="another")
-        self.assertTrue(self.is_failing())
-        self.vm.journal.accounts.make_home(LAST, 100, is_certain=True)
+        self.assertTrue(self.is_unresponsive())
+        self.vm.journal.accounts.open_offline_account(
+            LAST, 100, is_certain=True
+        )
         self.assertIs(histories.TurnState.OPEN, self.open("v"))
         self.assertIs(histories.Origin.HOME, self.vm.tickets["v"].origin)
 
@@ -205,4 +209,4 @@
             )
             self.clock.run_for(0.01)
         self.assertLessEqual(self.vm.log.calls.count("append") - before, 3)
-        self.assertFalse(self.is_failing())
+        self.assertFalse(self.is_unresponsive())
--- a/postspring/histories/tests/test_claims.py
+++ b/postspring/histories/tests/test_claims.py
@@ -13,7 +13,7 @@
 
     def setUp(self):
         self.accounts = histories.LocalAccounts("vm")
-        self.claims = histories.claims.Claims(self.accounts)
+        self.claims = histories.claims.ClaimWriter(self.accounts)
         self.fold = histories.ProgramFold()
         self.program = self.fold.program("p")
         self.ticket = histories.Ticket(
@@ -27,23 +27,23 @@
 
     def open(self):
         """Fold the record that opens the turn; return state and ticket."""
-        record = self.claims.opening(self.program, self.ticket)
+        record = self.claims.opening_record(self.program, self.ticket)
         self.program.open(record)
-        return self.claims.opened(self.fold, record, self.ticket)
+        return self.claims.note_opened(self.fold, record, self.ticket)
 
     def can_take(self, tokens):
         """Return whether this VM's reserve holds so many."""
-        return self.accounts.can_take(self.program, tokens, False)
+        return self.accounts.can_admit(self.program, tokens, False)
 
     def settle(self, ticket, between=0):
         """Fold the record of a turn's end behind another VM's."""
-        claim = self.claims.settling(self.program, ticket, 4)
-        self.accounts.spent(ticket, 4)
+        claim = self.claims.settlement_claim(self.program, ticket, 4)
+        self.accounts.note_spent(ticket, 4)
         if between:
             self.somebody_reserves(between)
         record = histories.EndedTurn("p", ticket.turn, claim, 4)
         self.program.end(record)
-        self.claims.settled(self.fold, record, ticket)
+        self.claims.note_settled(self.fold, record, ticket)
         return claim
 
     def test_what_fits_may_be_used(self):
@@ -53,19 +53,19 @@
         self.assertFalse(self.can_take(41))
 
     def test_a_record_on_its_way_may_not_be_used(self):
-        self.claims.opening(self.program, self.ticket)
+        self.claims.opening_record(self.program, self.ticket)
         self.assertFalse(self.can_take(1))
 
     def test_two_records_on_their_way_ask_for_no_more_than_one(self):
-        self.claims.opening(self.program, self.ticket)
-        second = self.claims.opening(self.program, self.ticket)
+        self.claims.opening_record(self.program, self.ticket)
+        second = self.claims.opening_record(self.program, self.ticket)
         self.assertEqual(0, second.claim.granted)
 
     def test_a_reserve_of_the_opening_that_does_not_fit(self):
-        record = self.claims.opening(self.program, self.ticket)
+        record = self.claims.opening_record(self.program, self.ticket)
         self.somebody_reserves(300)
         self.program.open(record)
-        state, ticket = self.claims.opened(self.fold, record, self.ticket)
+        state, ticket = self.claims.note_opened(self.fold, record, self.ticket)
         self.assertEqual((OPEN, 0), (state, ticket.granted))
         self.assertFalse(self.can_take(1))
         self.settle(ticket)
@@ -81,15 +81,15 @@
         claim = self.settle(ticket, between=300)
         self.assertEqual(40, claim.granted)
         self.assertFalse(self.can_take(1))
-        record = self.claims.opening(self.program, self.ticket)
+        record = self.claims.opening_record(self.program, self.ticket)
         self.assertEqual(40, record.claim.returned)
 
     def test_an_opening_that_does_not_run_gives_back_all_the_same(self):
         self.open()
         ticket = histories.Ticket("p", "b", 300, BUDGET, histories.Origin.LOG)
-        record = self.claims.opening(self.program, ticket)
+        record = self.claims.opening_record(self.program, ticket)
         self.assertEqual(40, record.claim.returned)
-        self.program.end(self.claims.failed(record))
+        self.program.end(self.claims.note_failed(record))
         self.assertEqual(0, self.program.reserved)
         self.program.open(record)
         self.assertEqual(
@@ -99,7 +99,7 @@
 
     def test_a_turn_from_the_reserve_makes_it_smaller(self):
         self.open()
-        ticket = self.accounts.take(self.program, "b", 10, BUDGET, False)
+        ticket = self.accounts.admit(self.program, "b", 10, BUDGET, False)
         claim = self.settle(ticket)
         self.assertTrue(claim.from_reserve)
         self.assertEqual(4, claim.granted)
@@ -107,6 +107,6 @@
         self.assertFalse(self.can_take(41))
 
     def test_no_budget_needs_no_reserve(self):
-        ticket = self.accounts.take(self.program, "b", 10, None, False)
-        claim = self.claims.settling(self.program, ticket, 4)
+        ticket = self.accounts.admit(self.program, "b", 10, None, False)
+        claim = self.claims.settlement_claim(self.program, ticket, 4)
         self.assertEqual((False, 0), (claim.from_reserve, claim.granted))
--- a/postspring/histories/tests/test_journal.py
+++ b/postspring/histories/tests/test_journal.py
@@ -328,13 +328,15 @@
         heard = []
         journal.open_turn("p", "b", 20, 25, 0.3, heard.append, heard.append)
         self.clock.run_for(0.1)
-        journal.accounts.make_home("p", 100, is_certain=True)
-        ticket = journal.accounts.take(
-            histories.Program("p"), "c", 10, 25, self.is_away("p")
+        journal.accounts.open_offline_account("p", 100, is_certain=True)
+        ticket = journal.accounts.admit(
+            histories.Program("p"), "c", 10, 25, self.is_unresponsive("p")
         )
         self.assertIsNone(ticket)
 
-    def is_away(self, program):
+    def is_unresponsive(self, program):
         """Return whether the first VM takes the log to be away."""
         found = self.one.journal._partitions
-        return found.is_failing(histories.partitions.place_of_program(program))
+        return found.is_unresponsive(
+            histories.partitions.place_of_program(program)
+        )
--- a/postspring/histories/tests/test_program.py
+++ b/postspring/histories/tests/test_program.py
@@ -140,14 +140,14 @@
         self.program.open(first, is_ordered=False)
         self.program.open(second, is_ordered=False)
         deferred = histories.TurnState.DEFERRED
-        self.assertIs(deferred, self.program.judge(first).state)
-        self.assertIs(deferred, self.program.judge(second).state)
+        self.assertIs(deferred, self.program.decide(first).state)
+        self.assertIs(deferred, self.program.decide(second).state)
 
     def test_a_reserve_that_does_not_fit_is_not_held(self):
         claim = histories.Claim("vm", 10, 25, granted=20)
         record = histories.OpenedTurn("p", "a", claim)
         self.assertIs(histories.TurnState.OPEN, self.program.open(record))
-        self.assertFalse(self.program.judge(record).holds)
+        self.assertFalse(self.program.decide(record).reserve_fits)
 
 
 class HistoryTest(unittest.TestCase):
--- a/postspring/histories/tests/test_slow_log.py
+++ b/postspring/histories/tests/test_slow_log.py
@@ -141,11 +141,11 @@
         self.one.journal.end_turn(self.one.tickets["u"], 10)
         self.clock.run_for(0.45)
         place = histories.partitions.place_of_program("p")
-        self.assertFalse(self.one.journal._partitions.is_failing(place))
+        self.assertFalse(self.one.journal._partitions.is_unresponsive(place))
         self.faults.silent = True
         self.one.journal.end_turn(self.one.tickets["u"], 20)
         self.clock.run_for(2.0)
-        self.assertTrue(self.one.journal._partitions.is_failing(place))
+        self.assertTrue(self.one.journal._partitions.is_unresponsive(place))
 
     def test_a_lost_answer_is_made_up_for_soon_when_it_is_fast_again(self):
         self.appends(2)
--- a/postspring/histories/whole_turns.py
+++ b/postspring/histories/whole_turns.py
@@ -18,14 +18,16 @@
 from postspring.histories import recording
 from postspring.histories import records
 
-__all__ = ["WholeTurns"]
+__all__ = [
+    "TurnRecorder",
+]
 
 LOG = logging.getLogger(__name__)
 
 KnownTurn = Callable[[records.TurnRef], program_module.Turn | None]
 
 
-class WholeTurns:
+class TurnRecorder:
     """Records whole turns: this VM's own, and copies of others'.
 
     Parameters
@@ -44,12 +46,12 @@
         partitions: partitions_module.Partitions,
         held: held_module.HeldTurns,
         known_turn: KnownTurn,
-        lost: Callable[[records.WholeTurn], openings.OnError],
+        make_loss_reporter: Callable[[records.WholeTurn], openings.OnError],
     ):
         self._partitions = partitions
         self._held = held
         self._known_turn = known_turn
-        self._lost = lost
+        self._make_loss_reporter = make_loss_reporter
 
     def record_with_chain(
         self,
@@ -62,17 +64,17 @@
         While the log is away the chain is left to those who have offered it:
         all who keep a part would append it at once when the log is back.
         """
-        if not recording.is_away(self._partitions, turn):
-            self._offer(self._missing_chain(turn))
+        if not recording.is_unavailable(self._partitions, turn):
+            self._append_now(self._unrecorded_ancestors(turn))
 
         def recorded() -> None:
-            chain = self._missing_chain(turn)
-            self._offer(chain)
-            self._held.when_recorded(map(_ref_of, chain), on_recorded)
+            chain = self._unrecorded_ancestors(turn)
+            self._append_now(chain)
+            self._held.call_when_recorded(map(_ref_of, chain), on_recorded)
 
-        self._record(turn, on_folded, recorded, recording.AWAITED_SECONDS)
+        self._record(turn, on_folded, recorded, recording.CALLER_WAIT_SECONDS)
 
-    def have_recorded(
+    def record_elsewhere(
         self,
         turn: records.WholeTurn,
         holders: ports.ReplicaHolders,
@@ -80,38 +82,40 @@
         on_done: Callable[[bool], None],
     ) -> None:
         """Have a VM that reaches the log record a turn and its chain."""
-        turns = [*self._missing_chain(turn), turn]
+        turns = [*self._unrecorded_ancestors(turn), turn]
 
-        def answered(is_recorded: bool) -> None:
+        def on_answer(is_recorded: bool) -> None:
             if is_recorded:
                 for item in turns:
                     self._held.note_recorded_elsewhere(_ref_of(item))
-                LOG.info("recorded by another VM", extra=_names(turn))
+                LOG.info("recorded by another VM", extra=_log_fields(turn))
             on_done(is_recorded)
 
         holders.record(
-            [records.encode_record(item) for item in turns], timeout, answered
+            [records.encode_record(item) for item in turns], timeout, on_answer
         )
 
     def record_for_another(
         self, turns: list[records.WholeTurn], on_done: Callable[[], None]
     ) -> None:
         """Append turns of a VM without the log; report when all stand."""
-        new = [turn for turn in turns if not self._is_recorded(turn)]
-        for turn in new:
+        unrecorded = [turn for turn in turns if not self._is_recorded(turn)]
+        for turn in unrecorded:
             self._held.add(turn)
-        self._offer(new)
-        self._held.when_recorded(map(_ref_of, new), on_done)
+        self._append_now(unrecorded)
+        self._held.call_when_recorded(map(_ref_of, unrecorded), on_done)
 
-    def record_copy(self, turn: records.WholeTurn, awaited: float) -> None:
+    def append_replica(
+        self, turn: records.WholeTurn, caller_wait: float
+    ) -> None:
         """Append a copy, unless the log has been offered it."""
-        if not self._held.offer(_ref_of(turn)):
+        if not self._held.mark_submitted(_ref_of(turn)):
             return
 
         def recorded() -> None:
-            LOG.info("copy recorded", extra=_names(turn))
+            LOG.info("copy recorded", extra=_log_fields(turn))
 
-        self._record(turn, lambda fold: None, recorded, awaited)
+        self._record(turn, lambda fold: None, recorded, caller_wait)
 
     # -- own ------------------------------------------------------------------
 
@@ -120,11 +124,11 @@
         turn: records.WholeTurn,
         on_folded: Callable[[fold_module.ProgramFold], None],
         on_recorded: Callable[[], None],
-        awaited: float,
+        caller_wait: float,
     ) -> None:
         """Append a turn and its place."""
         ref = self._held.add(turn)
-        self._held.offer(ref)
+        self._held.mark_submitted(ref)
 
         def recorded() -> None:
             # Without its place no other program finds it in the log.
@@ -136,24 +140,24 @@
             turn,
             on_folded,
             recorded,
-            self._lost(turn),
-            awaited,
+            self._make_loss_reporter(turn),
+            caller_wait,
         )
 
-    def _offer(self, turns: Iterable[records.WholeTurn]) -> None:
+    def _append_now(self, turns: Iterable[records.WholeTurn]) -> None:
         """See to it that turns get into the log now."""
         for turn in turns:
-            self.record_copy(turn, recording.AWAITED_SECONDS)
-            recording.hurry(self._partitions, turn)
+            self.append_replica(turn, recording.CALLER_WAIT_SECONDS)
+            recording.expedite_retry(self._partitions, turn)
 
-    def _missing_chain(
+    def _unrecorded_ancestors(
         self, turn: records.WholeTurn
     ) -> list[records.WholeTurn]:
         """Return the turns before one that the log may lack, oldest first."""
         missing: list[records.WholeTurn] = []
         ref = turn.parent
         while ref is not None and self._held:
-            if self._held.is_missing(ref):
+            if self._held.is_unrecorded(ref):
                 missing.append(self._held[ref])
             known = self._known_turn(ref)
             ref = None if known is None else known.parent
@@ -169,6 +173,6 @@
     return records.TurnRef(turn.program, turn.turn)
 
 
-def _names(turn: records.WholeTurn) -> dict[str, str]:
+def _log_fields(turn: records.WholeTurn) -> dict[str, str]:
     """Return a turn's ids for a log line."""
     return {"program": turn.program, "request": turn.turn}
