--- a/postspring/histories/__init__.py
+++ b/postspring/histories/__init__.py
@@ -1,4 +1,4 @@
-"""Histories: programs' turns and token budgets, kept in the shared log."""
+"""Histories of programs: their turns and token budgets in the shared log."""
 
 from postspring.histories.accounts import LocalAccounts
 from postspring.histories.accounts import Origin
--- a/postspring/histories/accounts.py
+++ b/postspring/histories/accounts.py
@@ -1,4 +1,4 @@
-"""What this VM may spend of programs' budgets without asking the log."""
+"""Tokens of programs' budgets that this VM may spend without the log."""
 
 import dataclasses
 import enum
@@ -9,20 +9,21 @@
 __all__ = ["LocalAccounts", "Origin", "Ticket"]
 
 
-# A turn uses a quarter of its ceiling on average; with half of it left, few
-# have to be broken off.
+# A turn uses a quarter of its ceiling on average: with half of it left, few
+# turns have to be cut off.
 MIN_CEILING_SHARE = 0.5
-# Programs whose reserves are kept in mind.  What is forgotten stays charged
-# and is not used.
+# Programs whose reserves this VM remembers. A reserve that it forgets stays
+# charged and is not used.
 MAX_RESERVES = 10_000
 
 
 class Origin(enum.Enum):
-    """What a turn's ceiling is charged to.
+    """The account that a turn's ceiling is charged to.
 
-    ``LOG``: a record that opened the turn.  ``RESERVE``: what this VM has
-    reserved in the log before.  ``HOME``: the whole budget of a program
-    that began here while the log was away.
+    ``LOG``: the program's account in the log, by a record that opened the
+    turn. ``RESERVE``: tokens that this VM has reserved in the log before.
+    ``HOME``: the offline account of a program that starts or continues here
+    while the log is unavailable.
     """
 
     LOG = "log"
@@ -38,9 +39,9 @@
     ==========
 
     limit : int or None
-        Tokens after which the turn has to be broken off.
+        Tokens after which the turn has to be cut off.
     granted, returned : int
-        What the record that opened the turn reserved, and gave back.
+        Tokens that the record which opened the turn reserved and released.
     """
 
     program: records.ProgramId
@@ -55,17 +56,17 @@
 
 @dataclasses.dataclass(slots=True)
 class _Reserve:
-    """What this VM has reserved of one program's budget.
+    """Tokens of one program's budget that this VM has reserved.
 
     Parameters
     ==========
 
     usable : int
-        Tokens whose record was found to fit, less what was used.
-    asked : int
+        Tokens whose record fitted the budget, less those used.
+    requested : int
         Tokens in records that are not folded yet.
     unfit : int
-        Tokens whose record did not fit: to be given back, never used.
+        Tokens whose record did not fit: to be released, never used.
     """
 
     usable: int = 0
@@ -75,18 +76,18 @@
 
 @dataclasses.dataclass(slots=True)
 class _OfflineAccount:
-    """A program that began here while the log was away.
+    """Budget of a program that runs here while the log is unavailable.
 
     Parameters
     ==========
 
     tokens : int
-        What is left of the budget.
+        Tokens left, before those of unsettled turns are subtracted.
     is_certain : bool
-        Nobody else can know the program.  Otherwise it might have spent
-        its budget before; then it gets no more than the one turn by which
-        a budget may be passed, and a turn starts if a good part of its
-        ceiling is left.
+        Whether no other VM can know the program. Otherwise the program might
+        have spent its budget before: the account then gets no more than the
+        one turn by which a budget may be exceeded, and a turn starts if a good
+        part of its ceiling is left.
     """
 
     tokens: int
@@ -94,15 +95,16 @@
 
 
 class LocalAccounts:
-    """Tokens of programs that this VM may spend on its own.
+    """Tokens of programs that this VM may spend by itself.
 
     Explanation
     ===========
 
-    What the VM has reserved is known here alone, by its own records: others
-    charge all that they name, and only what fitted at its place in the log
-    may be used.  What the VM has spent, or may spend in turns under way, is
-    held against its reserve until the records that settle it were folded.
+    Only this VM knows which tokens of its reserve it may use, from its own
+    records: other VMs charge all tokens that the records name, but only those
+    that fitted the budget at their offset in the log may be used. Tokens that
+    running turns may use, or that ended turns have used, are deducted from the
+    reserve until the records that settle them are folded.
 
     Parameters
     ==========
@@ -127,7 +129,7 @@
         budget: int | None,
         is_log_away: bool,
     ) -> Ticket | None:
-        """Return the right to run a turn, if this VM may give it."""
+        """Return the right to run a turn, or None if this VM lacks tokens."""
         if budget is None:
             return Ticket(program.id, turn, ceiling, budget, Origin.RESERVE)
         if self._reserve_left(program) >= ceiling:
@@ -147,16 +149,17 @@
         ceiling: int,
         is_log_away: bool,
     ) -> bool:
-        """Return whether a turn would get its right."""
+        """Return whether a local account has the tokens for a turn."""
         if self._reserve_left(program) >= ceiling:
             return True
         return is_log_away and self._offline_limit(program, ceiling, None) > 0
 
     def _reserve_left(self, program: program_module.Program) -> int:
-        """Return what may be spent: fitting, unspent, and charged here.
+        """Return the tokens that fitted, are unspent and are charged here.
 
-        What this VM doesn't charge, since it has read none of the records
-        for long, it doesn't name to others either, and they may spend it.
+        A reserve that this VM does not charge, since it has read none of the
+        records for long, is not reported to other VMs either, and they may
+        spend it.
         """
         reserve = self._reserve_by_program.get(program.id)
         if reserve is None:
@@ -171,7 +174,7 @@
         ceiling: int,
         budget: int | None,
     ) -> int:
-        """Return the tokens that a turn may use at a home; 0 if none."""
+        """Return the tokens that a turn may use offline; 0 if none."""
         offline_account = self._offline_by_program.get(program.id)
         if offline_account is None:
             return 0
@@ -194,19 +197,25 @@
         return sum(self._unsettled.get((program, origin), {}).values())
 
     def note_requested(self, program: records.ProgramId, tokens: int) -> None:
-        """Take note that a record is on its way that reserves tokens."""
+        """Note that a record that reserves tokens is being appended."""
         if tokens:
             self._reserve(program).requested += tokens
 
     def requested(self, program: records.ProgramId) -> int:
-        """Return what records on their way reserve."""
+        """Return the tokens that records under way reserve."""
         reserve = self._reserve_by_program.get(program)
         return 0 if reserve is None else reserve.requested
 
     def note_granted(
         self, program: records.ProgramId, tokens: int, reserve_fits: bool
     ) -> None:
-        """Take note that a record stands in the log that reserves tokens."""
+        """Note that a record that reserves tokens is in the log.
+
+        Parameters
+        ----------
+        reserve_fits : bool
+            Whether the tokens fitted the budget at the record's offset.
+        """
         if not tokens:
             return
         reserve = self._reserve(program)
@@ -219,19 +228,22 @@
     def note_not_granted(
         self, program: records.ProgramId, tokens: int
     ) -> None:
-        """Take note that a record came to nothing."""
+        """Note that tokens of a record under way are not reserved."""
         if tokens:
             self._reserve(program).requested -= tokens
 
     def release_idle(self, program: program_module.Program) -> int:
-        """Return the idle reserve, and what never fitted: both are gone."""
+        """Remove and return the idle tokens and those that never fitted."""
         idle = max(0, self._reserve_left(program))
         if idle:
             self._reserve(program.id).usable -= idle
         return idle + self.release_unfit(program.id)
 
     def release_unfit(self, program: records.ProgramId) -> int:
-        """Return what never fitted, to be named in one record."""
+        """Remove and return the tokens that never fitted.
+
+        They are removed so that only one record names them.
+        """
         reserve = self._reserve_by_program.get(program)
         if reserve is None:
             return 0
@@ -239,13 +251,13 @@
         return unfit
 
     def note_spent(self, ticket: Ticket, tokens: int) -> None:
-        """Take note that a turn has ended, and what it used."""
+        """Note that a turn has ended and how many tokens it used."""
         if ticket.budget is None and ticket.origin is Origin.RESERVE:
             return
         self._set_unsettled(ticket.program, ticket.origin, ticket.turn, tokens)
 
     def note_settled(self, ticket: Ticket, tokens: int) -> None:
-        """Take note that the log holds what a turn used, or that it is 0."""
+        """Note that the log charges what a turn used, or that it used 0."""
         self._clear_unsettled(ticket.program, ticket.origin, ticket.turn)
         offline_account = self._offline_by_program.get(ticket.program)
         if ticket.origin is Origin.HOME and offline_account is not None:
@@ -263,18 +275,19 @@
         charged_elsewhere: int,
         is_certain: bool,
     ) -> None:
-        """Let a program go on here while the log is away.
+        """Open an offline account while the log is unavailable.
 
-        If it is not certain that nobody else does the same, all homes
-        together get no more than the one turn by which a budget may be
-        passed.
+        Unless it is certain that no other VM does the same, all offline
+        accounts of a program together get no more than the one turn by which a
+        budget may be exceeded.
 
         Parameters
         ----------
         charged : int
-            Tokens that records charge it with, as far as anybody knows.
-        elsewhere : int
-            Tokens of its other homes.
+            Tokens that records charge the program with, as far as any VM that
+            was asked knows.
+        charged_elsewhere : int
+            Tokens of the program's offline accounts at other VMs.
         """
         if budget is not None:
             left = budget - charged - charged_elsewhere
@@ -286,33 +299,36 @@
     def open_offline_account(
         self, program: records.ProgramId, tokens: int, is_certain: bool
     ) -> None:
-        """Let a program begin here while the log is away."""
+        """Open an offline account unless the program has one here."""
         offline_account = _OfflineAccount(tokens, is_certain)
         self._offline_by_program.setdefault(program, offline_account)
 
     def home_tokens(self, program: records.ProgramId) -> int:
-        """Return what a program may spend here, or has spent unrecorded."""
+        """Return the tokens of an offline account that are not settled."""
         offline_account = self._offline_by_program.get(program)
         return 0 if offline_account is None else max(0, offline_account.tokens)
 
     def unsettled_offline(
         self, program: records.ProgramId
     ) -> dict[records.TurnId, int]:
-        """Return what turns used here, or may use, that the log lacks."""
+        """Return the tokens of offline turns here that the log lacks.
+
+        A running turn counts with the most that it may use.
+        """
         return dict(self._unsettled.get((program, Origin.HOME), {}))
 
     def has_offline_account(self, program: records.ProgramId) -> bool:
-        """Return whether the program began here while the log was away."""
+        """Return whether a program has an offline account here."""
         return program in self._offline_by_program
 
     @property
     def has_offline_accounts(self) -> bool:
-        """Whether any program began here, or has not settled it yet."""
+        """Whether there are offline accounts, or unsettled turns of one."""
         origins = {origin for program, origin in self._unsettled}
         return bool(self._offline_by_program) or Origin.HOME in origins
 
     def close_offline_account(self, program: records.ProgramId) -> None:
-        """End a home if all its turns stand in the log."""
+        """Close an offline account if all its turns are settled."""
         if not self._unsettled.get((program, Origin.HOME)):
             self._offline_by_program.pop(program, None)
 
--- a/postspring/histories/appending.py
+++ b/postspring/histories/appending.py
@@ -1,4 +1,4 @@
-"""One batch of records on its way to the log."""
+"""Hedged appends of one batch of records."""
 
 from collections.abc import Callable
 import functools
@@ -10,24 +10,25 @@
 
 
 class HedgedAppend:
-    """Sent again while no answer has come.
+    """Appends a batch, and sends it again while no answer has come.
 
-    What reads the log ignores what stands there twice.
+    Folds ignore a record that is in the log twice.
 
     Parameters
     ==========
 
     send : callable
-        Makes the call; takes who hears the offset, and who the failure.
+        Makes the call; takes functions to call with the offset or with the
+        error.
     pauses : list of float
-        Seconds without an answer after which it is sent again.
+        Seconds without an answer after which the batch is sent again.
     may_resend : callable
-        Returns whether the log is known not to fail.
+        Returns whether the log answers, as far as known.
     on_done : callable
-        Told once the offset of the first record, and the seconds that the
-        call took which was answered.
+        Called once with the offset of the first record, and the seconds that
+        the answered call took.
     on_error : callable
-        Told the last failure, once no call is open any more.
+        Called with the last error once no call is open any more.
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         self._resend_timer: timers_module.TimerHandle | None = None
 
     def start(self) -> None:
-        """Send the batch, and plan to send it again."""
+        """Send the batch, and schedule sending it again."""
         self._open_calls += 1
         if self._sent_count < len(self._pauses) and self._may_resend():
             self._resend_timer = self._timers.call_later(
--- a/postspring/histories/chains.py
+++ b/postspring/histories/chains.py
@@ -1,4 +1,4 @@
-"""Chains: a turn and all that precede it."""
+"""Chains: a turn and all its ancestors."""
 
 from collections.abc import Callable
 import dataclasses
@@ -18,7 +18,8 @@
     ==========
 
     upstream : str
-        Id of the upstream where the head ran: it may have it in memory.
+        Id of the upstream where the head ran, which may have the history in
+        memory.
     """
 
     head: records.TurnRef | None
@@ -29,12 +30,12 @@
 def collect_chain(
     find: Callable, head: records.TurnRef
 ) -> tuple[Chain | None, records.TurnRef | None]:
-    """Return the chain of a turn, or None and the first turn missing.
+    """Return the chain of a turn, or None and the first missing turn.
 
     Parameters
     ----------
     find : callable
-        Returns a whole turn, or None.
+        Returns a whole turn, or None if it is unknown.
     """
     parts: list[bytes] = []
     upstream = ""
@@ -52,7 +53,7 @@
 
 
 class ChainSearch:
-    """Walks a chain from its head to its root, reading what is missing."""
+    """Walks a chain from its head to its root and reads missing turns."""
 
     def __init__(self, journal, timeout: float, on_done, on_error):
         self._journal = journal
@@ -63,7 +64,7 @@
         self._refreshed: set[records.ProgramId] = set()
 
     def start(self, head: records.TurnRef) -> None:
-        """Look among the records of the head's program first."""
+        """Search the records of the head's program first."""
         self._head = head
         self._walk(self._locate_head)
 
@@ -76,7 +77,7 @@
             if missing == self._head:
                 when_missing()
             else:
-                # The turn exists; what precedes it is not in the log yet.
+                # The head exists, but an ancestor is not in the log yet.
                 self._on_error(errors.IncompleteChain(missing.turn))
             return
         self._refreshed.add(missing.program)
--- a/postspring/histories/claims.py
+++ b/postspring/histories/claims.py
@@ -1,4 +1,4 @@
-"""Claims: what this VM's records say of programs' accounts."""
+"""Claims that this VM writes into the records of programs' accounts."""
 
 import dataclasses
 
@@ -14,20 +14,21 @@
 
 
 class ClaimWriter:
-    """Writes claims into records, and hears what became of them.
+    """Writes claims into records and applies the decisions on them.
 
     Explanation
     ===========
 
-    How much a VM reserves ahead is computed here, once, from what the VM
-    knows, and stands in the record as a number: computed from the records
-    before it, it would be another one for whoever reads fewer of them.
+    The VM that reserves tokens ahead computes their number once, from the
+    records that it knows, and writes it into its record. If other VMs computed
+    the number from the records before it, those that have read fewer records
+    would get another one.
 
     Parameters
     ==========
 
-    local : LocalAccounts
-        What the VM may spend.
+    local_accounts : LocalAccounts
+        Tokens that the VM may spend by itself.
     """
 
     def __init__(self, local_accounts: accounts.LocalAccounts):
@@ -36,7 +37,7 @@
     def opening_record(
         self, known: program_module.Program, ticket: accounts.Ticket
     ) -> records.OpenedTurn:
-        """Return the record that opens a turn; the idle reserve goes back."""
+        """Return the record that opens a turn and releases the idle tokens."""
         returned = self._accounts.release_idle(known)
         own = known.reserve_by_author.get(self._accounts.author, 0)
         granted = self._request_reserve(
@@ -59,7 +60,8 @@
     ) -> tuple[shares.TurnState, accounts.Ticket]:
         """Return whether a turn may run, and its ticket.
 
-        A reserve that did not fit is named no more when the turn ends.
+        The ticket leaves out a reserve that did not fit, so the record of the
+        turn's end does not name it.
         """
         claim = record.claim
         state, reserve_fits = fold.program(record.program).decide(record)
@@ -79,12 +81,12 @@
     def withdrawal_record(
         self, record: records.OpenedTurn
     ) -> records.EndedTurn:
-        """Return the record that settles an opening that came to nothing."""
+        """Return the record that settles an opening whose turn never ran."""
         claim = record.claim._replace(ceiling=0, granted=0)
         return records.EndedTurn(record.program, record.turn, claim, 0)
 
     def note_failed(self, record: records.OpenedTurn) -> records.EndedTurn:
-        """Return what settles an opening of which nothing is known."""
+        """Return the record that settles an opening of unknown outcome."""
         self._accounts.note_not_granted(record.program, record.claim.granted)
         return self.withdrawal_record(record)
 
@@ -94,7 +96,7 @@
         ticket: accounts.Ticket,
         tokens: int,
     ) -> records.Claim:
-        """Return the claim of a turn's end; names what its opening did."""
+        """Return the claim of a turn's end, which includes its opening's."""
         from_reserve = (
             ticket.origin is accounts.Origin.RESERVE
             and ticket.budget is not None
@@ -123,7 +125,7 @@
         record: records.WholeTurn | records.EndedTurn,
         ticket: accounts.Ticket,
     ) -> None:
-        """Take note that the record of a turn's end stands in the log."""
+        """Note that the record of a turn's end is in the log."""
         decision = fold.program(record.program).decide(record)
         self._accounts.note_granted(
             record.program,
--- a/postspring/histories/completion.py
+++ b/postspring/histories/completion.py
@@ -1,4 +1,4 @@
-"""When a whole turn is safe: in the log, or kept by other VMs."""
+"""Waits until a whole turn is in the log or held by other VMs."""
 
 from collections.abc import Callable
 
@@ -14,23 +14,23 @@
     "PairLatch",
 ]
 
-# The log's usual answer takes 4 ms; if it is known to be away by then, a turn
-# that is not recorded is given to other VMs.  In seconds.
+# The log usually answers in 4 ms. If it is known to be unavailable by then, a
+# turn that is not recorded is replicated to other VMs. In seconds.
 REPLICATE_AFTER_SECONDS = 0.1
-# Else the log may be slow: other VMs keep the turn, and the log is waited for
-# all the same.  In seconds.
+# Otherwise the log may be slow: other VMs hold replicas from then on, and the
+# turn still waits for the log. In seconds.
 REPLICATE_SLOW_AFTER_SECONDS = 0.35
-# So long the log is waited for unless it is known to be away, though others
-# keep the turn: what VMs keep is lost if all lose power, and of a log that
-# takes 0.15 s they kept every turn.  Callers leave a stream that is silent
-# for 2 s.  In seconds.
+# Longest wait for the log, in seconds, unless it is known to be unavailable,
+# even if other VMs hold the turn: replicas are lost if all VMs lose power, and
+# with a log that takes 0.15 s every turn ended as held. Callers leave a stream
+# that is silent for 2 s.
 MAX_LOG_WAIT_SECONDS = 1.2
 POLL_SECONDS = 0.05
-# Pause before other VMs are asked again, in seconds.
+# Pause before the turn is replicated again if no VM holds it, in seconds.
 REPLICATE_RETRY_SECONDS = 0.25
-# How long a caller waits that has named no deadline, in seconds.
+# How long a caller waits that has set no deadline, in seconds.
 DEFAULT_TIMEOUT_SECONDS = 15.0
-# How a turn is kept.
+# Where a turn is stored when the wait ends.
 LOGGED = "logged"
 HELD = "held"
 NOWHERE = "nowhere"
@@ -39,14 +39,14 @@
 
 
 class PairLatch:
-    """Calls a function when two things are done.
+    """Calls a function when two operations are done.
 
     Examples
     ========
 
-    >>> both = Both(lambda: print("done"))
-    >>> both.one_done()
-    >>> both.one_done()
+    >>> latch = PairLatch(lambda: print("done"))
+    >>> latch.count_down()
+    >>> latch.count_down()
     done
     """
 
@@ -55,29 +55,29 @@
         self._left = 2
 
     def count_down(self) -> None:
-        """Take note that one of them is."""
+        """Note that one of the operations is done."""
         self._left -= 1
         if not self._left:
             self._on_done()
 
 
 class DurabilityWait:
-    """Waits until a turn is recorded, or copies of it are kept.
+    """Waits until a turn is recorded, or other VMs hold replicas of it.
 
     Parameters
     ==========
 
     record : bytes
         The record of the whole turn.
-    is_away : callable
-        Returns whether the log is known to be away.
+    is_unavailable : callable
+        Returns whether the log is known to be unavailable.
     timeout : float
-        Seconds after which its caller is told, if nobody keeps it, so.
+        Seconds after which the wait ends even if no VM holds the turn.
     is_late : callable
-        Returns whether the log takes longer than usual, or is away.
-    have_recorded : callable
-        Asks VMs that reach the log to record the turn; takes for how many
-        seconds, and who is told whether one has.
+        Returns whether the log is unavailable or takes longer than usual.
+    record_elsewhere : callable
+        Has a VM that reaches the log record the turn; takes a timeout in
+        seconds and a function to call with whether one has.
     """
 
     def __init__(
@@ -107,7 +107,11 @@
         self._expiry: timers_module.TimerHandle | None = None
 
     def start(self, on_done: Callable[[str], None]) -> None:
-        """Report to ``on_done``; ask other VMs at once, or after a while."""
+        """Call ``on_done`` once with where the turn is stored.
+
+        Other VMs get replicas at once if the log is unavailable, else after a
+        delay.
+        """
         if self._is_logged:
             on_done(LOGGED)
             return
@@ -119,14 +123,15 @@
         )
 
     def logged(self) -> None:
-        """Take note that the turn stands in the log."""
+        """Note that the turn is in the log."""
         self._is_logged = True
         self._finish(LOGGED)
 
     def finish_now(self) -> None:
-        """End at the caller's deadline, or as this VM is about to end.
+        """End the wait, at the caller's deadline or because this VM stops.
 
-        What others keep can be gone on from: broken off, it would run again.
+        A turn that other VMs hold counts as held, since it can be continued:
+        if its answer were cut off, the turn would run again.
         """
         self._finish(HELD if self._is_replicated else NOWHERE)
 
@@ -155,10 +160,10 @@
             )
 
     def _wait_for_log(self) -> None:
-        """End by copies if the log is away for all, or too slow for callers.
+        """Finish as held if no VM reaches the log, or after the longest wait.
 
-        What only VMs keep is lost if all lose power, so as long as any of
-        them reaches the log the turn waits to be recorded.
+        Replicas are lost if all VMs lose power, so the turn waits to be
+        recorded as long as any VM reaches the log.
         """
         if self._on_done is None:
             return
--- a/postspring/histories/copies.py
+++ b/postspring/histories/copies.py
@@ -1,4 +1,4 @@
-"""Copies of other VMs' records, kept until they stand in the log."""
+"""Replicas of other VMs' records, held until the log has them."""
 
 from collections.abc import Callable
 import random
@@ -14,23 +14,24 @@
     "ReplicaStore",
 ]
 
-# When a copy is looked for in the log, in seconds: its author appends it as
-# soon as the log answers, and only if that VM is gone, or the log stays away,
-# it has to be appended here.  VMs look at different times, so that one finds
-# what another has appended.
+# Delay until a VM looks for a replica in the log, in seconds. The author
+# appends its record as soon as the log answers; only if the author is gone, or
+# the log stays unavailable, another VM has to append it. The delay is random,
+# so that one VM finds what another has appended.
 CHECK_DELAY_SECONDS = (2.0, 3.0)
-# The same by a VM whose log is quick if the author's is away, in seconds: what
-# only VMs keep is lost if all lose power.  The latest of four still finds
-# what the first has appended in some ms; of a log that is slow for the author
-# too, all four would append it, and what waits there would wait longer.
+# The same for a VM whose log is fast while the author's is unavailable, in
+# seconds: replicas are lost if all VMs lose power. A fast log takes some ms,
+# so the last of four VMs still finds what the first has appended. With a log
+# that is slow for the author too, all four would append the record and delay
+# other appends.
 URGENT_CHECK_DELAY_SECONDS = (0.0, 0.2)
-# How long the log may be away, in seconds; above the retention of the users'
-# routes.
+# How long the log may be unavailable, in seconds; above the retention of the
+# users' routes.
 LOG_TIMEOUT_SECONDS = 120.0
 
 
 class ReplicaStore(Protocol):
-    """What a check needs of the journal that keeps the copy."""
+    """The journal that holds a replica, as its check uses it."""
 
     def refresh_program(
         self, program, timeout, on_done, on_error, keeps_timeout=False
@@ -38,34 +39,34 @@
         """Fold all records of a program's partition."""
 
     def locate(self, turn, timeout, on_done, on_error) -> None:
-        """Tell among which program's records a turn stands."""
+        """Find the program among whose records a turn is stored."""
 
     def is_logged(self, ref: records.TurnRef) -> bool:
-        """Return whether a whole turn is known to stand in the log."""
+        """Return whether a whole turn is known to be in the log."""
 
     def append_replica(self, record: records.WholeTurn) -> None:
-        """Append a copy that is not in the log."""
+        """Append a replica that the log lacks."""
 
     def append_replica_location(self, record: records.WholeTurn) -> None:
-        """Append where a copy stands whose place is not in the log."""
+        """Append the location of a replica whose record is in the log."""
 
     def drop_replica(self, ref: records.TurnRef) -> None:
-        """Forget a copy whose records stand in the log."""
+        """Drop a replica whose record and location are in the log."""
 
 
 class ReplicaCheck:
-    """Looks whether a copy stands in the log, and appends what is missing.
+    """Checks whether a replica is in the log, and appends what is missing.
 
-    One read costs the log less than an append, and all VMs that keep a copy
-    would append it at the same time.
+    A read costs the log less than an append, and without the check all VMs
+    that hold a replica would append it at the same time.
 
     Parameters
     ==========
 
     record : WholeTurn
-        The copy.
+        The replica.
     on_lost : callable
-        Told if the log stayed away too long.
+        Called with the error if the log was unavailable for too long.
     """
 
     def __init__(
@@ -82,7 +83,7 @@
         self._ref = records.TurnRef(record.program, record.turn)
 
     def start(self, is_urgent: bool) -> None:
-        """Look soon, or after a while."""
+        """Check after the usual delay, or after a short one."""
         bounds = (
             URGENT_CHECK_DELAY_SECONDS if is_urgent else CHECK_DELAY_SECONDS
         )
@@ -119,14 +120,15 @@
 
 
 class EndedTurnReplicas:
-    """What turns used that left no history, as other VMs tell.
+    """Replicas of records of turns that left no history.
 
     Explanation
     ===========
 
-    A turn that ran at a program's home while the log is away is charged by
-    nothing in the log.  If its VM dies before the log is back, the program
-    would have what it used once more; so some other VMs keep its record.
+    While the log is unavailable, no record in it charges a turn that runs on a
+    program's offline account. If the turn's VM dies before the log is
+    available again, the program could spend the same tokens once more; so some
+    other VMs hold the record.
 
     Parameters
     ==========
@@ -134,9 +136,9 @@
     refresh : callable
         Folds all records of a program's partition.
     is_folded : callable
-        Returns whether a record stands in the log, as far as was read.
+        Returns whether this VM has folded a record.
     append : callable
-        Appends a record; takes what to call when that is done.
+        Appends a record; takes a function to call when that has ended.
     """
 
     def __init__(
@@ -157,17 +159,17 @@
 
     @property
     def stored(self) -> list[records.EndedTurn]:
-        """The records that are kept."""
+        """The records that this VM holds."""
         return list(self._stored)
 
     def has_program(self, program: records.ProgramId) -> bool:
-        """Return whether a turn of a program is among them."""
+        """Return whether one of the records belongs to a program."""
         return any(record.program == program for record in self._stored)
 
     def tokens_by_turn(
         self, program: records.ProgramId
     ) -> dict[records.TurnId, int]:
-        """Return what a program's turns among them used."""
+        """Return the tokens of a program's turns by these records."""
         return {
             record.turn: record.tokens
             for record in self._stored
@@ -175,7 +177,7 @@
         }
 
     def add(self, record: records.EndedTurn) -> None:
-        """Keep a record, and look for it in the log after a while."""
+        """Hold a record, and look for it in the log after a delay."""
         if record in self._stored or self._is_folded(record):
             return
         self._stored.add(record)
--- a/postspring/histories/errors.py
+++ b/postspring/histories/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the histories' layer."""
+"""Errors of the histories package."""
 
 from postspring import errors
 
@@ -15,12 +15,12 @@
 
 
 class JournalUnavailable(HistoryError):
-    """The log did not answer in time; a record may still be appended.
+    """The log did not answer in time; the append may still take effect.
 
     Parameters
     ----------
     reason : str
-        A short word for counters.
+        Short identifier of the cause.
     """
 
     def __init__(self, reason: str):
@@ -29,15 +29,15 @@
 
 
 class IncompleteChain(JournalUnavailable):
-    """The log has a turn, but not all that precede it.
+    """A turn was found, but one of its ancestors was not.
 
-    They are kept by VMs that have not recorded them yet, or were lost with
-    the VMs that kept them.
+    The missing ancestors are held by VMs that have not recorded them yet, or
+    were lost with those VMs.
 
     Parameters
     ----------
     missing : str
-        The first turn that is missing, from the head.
+        The first missing turn, counted from the head.
     """
 
     def __init__(self, missing: str):
@@ -46,4 +46,4 @@
 
 
 class MalformedRecord(HistoryError):
-    """Bytes that are not a record of a history."""
+    """Bytes that are not a valid record of a history."""
--- a/postspring/histories/fold.py
+++ b/postspring/histories/fold.py
@@ -1,6 +1,7 @@
-"""Folds: what the records of one partition add up to.
+"""Folds: the state that results from the records of one partition.
 
-No clock and no I/O: the same records give the same state on every VM.
+A fold uses no clock and does no I/O, so the same records give the same state
+on every VM.
 """
 
 import logging
@@ -18,12 +19,12 @@
     try:
         return records.decode_record(value)
     except errors.MalformedRecord as error:
-        LOG.warning("record skipped", extra={"error": str(error)})
+        LOG.warning("malformed record skipped", extra={"error": str(error)})
         return None
 
 
 class ProgramFold:
-    """The programs of one partition."""
+    """The programs whose records one partition holds."""
 
     def __init__(self):
         self.program_by_id: dict[
@@ -31,15 +32,15 @@
         ] = {}
 
     def apply(self, value: bytes, is_ordered: bool = True) -> None:
-        """Fold one record; an empty one drops its key and changes nothing.
+        """Fold one record; an empty value drops its key and changes nothing.
 
-        A dropped turn has outlived its retention, and with it every turn
-        that may name it.
+        A dropped turn has outlived its retention, and so has every turn that
+        may refer to it.
 
         Parameters
         ----------
         is_ordered : bool
-            All that stands before the record was folded before it.
+            Whether all records before this one were folded before it.
         """
         record = _decode(value) if value else None
         if record is None:
@@ -53,7 +54,7 @@
             program.end(record, is_ordered)
 
     def program(self, program: records.ProgramId) -> program_module.Program:
-        """Return a program, which may have no turns yet."""
+        """Return a program, which is created empty if it is unknown."""
         found = self.program_by_id.get(program)
         if found is None:
             found = program_module.Program(program)
@@ -61,13 +62,13 @@
         return found
 
     def whole_turn(self, ref: records.TurnRef) -> program_module.Turn | None:
-        """Return a turn of the history, or None if it is not known."""
+        """Return a turn of the history, or None if this fold lacks it."""
         found = self.program_by_id.get(ref.program)
         return None if found is None else found.whole_turn(ref.turn)
 
 
 class LocationFold:
-    """Where whole turns stand, for callers that know only a turn's id."""
+    """Programs of whole turns, for callers that know only a turn's id."""
 
     def __init__(self):
         self.program_by_turn: dict[records.TurnId, records.ProgramId] = {}
--- a/postspring/histories/handover.py
+++ b/postspring/histories/handover.py
@@ -1,11 +1,11 @@
-"""What a VM that stops gives to others, since the log lacks it.
+"""Hands over the records that the log lacks when a VM stops.
 
-The promise: what a caller had whole, and what VMs were asked to keep, is in
-the log, or with this VM, or with two VMs that are not stopping (with one, if
-there are no two that answer).  A VM that stops still waits for the log; it
-may be killed, and ends with its grace.  When all VMs stop while the log is
-away nobody takes anything, and what only they have goes with them; the line
-"stopped" says how much.
+Every turn that a caller received whole, and every record that VMs were asked
+to hold, is in the log, or on this VM, or on two VMs that are not stopping (on
+one, if no two answer). A stopping VM still waits for the log; it may be
+killed, and exits when its grace period is over. When all VMs stop while the
+log is unavailable, no VM takes records, and those that only they hold are
+lost; the log line "stopped" says how many.
 """
 
 from collections.abc import Callable
@@ -21,26 +21,27 @@
 
 LOG = logging.getLogger(__name__)
 
-# How often a VM that stops looks for what nobody has taken yet, in seconds.
+# How often a stopping VM looks for records that no VM has taken, in seconds.
 CHECK_SECONDS = 0.5
-# Bytes of records that are given away at once: well below what a VM reads
-# of a request, 4 MiB.
+# Bytes of records that are sent at once: well below what a VM reads of a
+# request, 4 MiB.
 BATCH_BYTES = 1024 * 1024
 
-# Gives records to other VMs; told whether enough of them have all.
+# Sends records to other VMs; calls the function with whether enough VMs have
+# all of them.
 SendRecords = Callable[[list[bytes], Callable[[bool], None]], None]
 
 
 class Handover:
-    """Gives each record away once enough VMs have taken it.
+    """Sends each record to other VMs until enough have taken it.
 
     Parameters
     ==========
 
-    owed : callable
+    list_unrecorded : callable
         Returns the records that the log lacks.
-    give : callable
-        Gives some to other VMs.
+    send : callable
+        Sends some of them to other VMs.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self._is_sending = False
 
     def send_next_batch(self) -> None:
-        """Give away what nobody has taken yet, some of it."""
+        """Send some of the records that too few VMs have taken."""
         if self._is_sending:
             return
         batch, size = [], 0
@@ -73,7 +74,7 @@
         def done(is_taken: bool) -> None:
             self._is_sending = False
             LOG.info(
-                "records handed over",
+                "handover of records ended",
                 extra={"records": len(batch), "taken": is_taken},
             )
             if is_taken:
--- a/postspring/histories/held.py
+++ b/postspring/histories/held.py
@@ -1,4 +1,4 @@
-"""Whole turns whose records the log may lack, as far as this VM knows."""
+"""Whole turns that the log may lack, as far as this VM knows."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -11,20 +11,20 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Waiter:
-    """Somebody who waits until some turns are recorded."""
+    """A function to call when some turns are recorded."""
 
     unrecorded: set[records.TurnRef]
     on_done: Callable[[], None]
 
 
 class HeldTurns(dict[records.TurnRef, records.WholeTurn]):
-    """The turns that this VM keeps until it has their records from the log.
+    """The turns that this VM holds until it has their records from the log.
 
     Explanation
     ===========
 
-    One that another VM has recorded stays here, for this VM may not reach
-    the log and callers go on from it; but it is not missing any more.
+    A turn that another VM has recorded stays here, since this VM may not reach
+    the log and callers continue the turn; but it counts as recorded.
 
     Examples
     ========
@@ -33,10 +33,10 @@
     >>> claim = records.Claim("vm", ceiling=8, budget=None)
     >>> turn = records.WholeTurn("p", "t", claim, None, 4, b"", b"")
     >>> ref = held.add(turn)
-    >>> held.when_recorded([ref], lambda: print("recorded"))
+    >>> held.call_when_recorded([ref], lambda: print("recorded"))
     >>> held.note_recorded_elsewhere(ref)
     recorded
-    >>> len(held), list(held.missing)
+    >>> len(held), list(held.unrecorded)
     (1, [])
     """
 
@@ -48,42 +48,43 @@
 
     @property
     def unrecorded(self) -> Iterable[records.WholeTurn]:
-        """Those that are not known to stand in the log."""
+        """Turns that are not known to be in the log."""
         return (turn for ref, turn in self.items() if self.is_unrecorded(ref))
 
     def is_unrecorded(self, ref: records.TurnRef) -> bool:
-        """Return whether a turn could be lost with the VMs that keep it."""
+        """Return whether a turn could be lost with the VMs that hold it."""
         return ref in self and ref not in self._recorded_elsewhere
 
     def add(self, turn: records.WholeTurn) -> records.TurnRef:
-        """Keep a turn; return its reference."""
+        """Hold a turn; return its reference."""
         ref = records.TurnRef(turn.program, turn.turn)
         self[ref] = turn
         return ref
 
     def mark_submitted(self, ref: records.TurnRef) -> bool:
-        """Take note that the log is offered a turn; tell if it is the first.
+        """Mark a turn as submitted to the log; return if it was not yet.
 
-        Offered once, it is tried until it stands there.
+        The append of a submitted turn is retried until it is recorded or its
+        timeout is over.
         """
         is_first = ref not in self._submitted
         self._submitted.add(ref)
         return is_first
 
     def note_recorded(self, ref: records.TurnRef) -> None:
-        """Take note that this VM has a turn from the log."""
+        """Drop a turn whose records this VM has from the log."""
         self._forget(ref)
         self._notify_waiters(ref)
 
     def note_lost(self, ref: records.TurnRef) -> None:
-        """Take note that a turn will never stand in the log."""
+        """Drop a turn that was never recorded, and all who wait for it."""
         self._forget(ref)
         self._waiters = [
             item for item in self._waiters if ref not in item.unrecorded
         ]
 
     def note_recorded_elsewhere(self, ref: records.TurnRef) -> None:
-        """Take note that another VM has recorded a turn."""
+        """Note that another VM has recorded a turn."""
         if ref in self:
             self._recorded_elsewhere.add(ref)
             self._notify_waiters(ref)
@@ -91,7 +92,7 @@
     def call_when_recorded(
         self, refs: Iterable[records.TurnRef], on_done: Callable[[], None]
     ) -> None:
-        """Call a function once none of these turns is missing."""
+        """Call a function once all of these turns are recorded."""
         unrecorded = {ref for ref in refs if self.is_unrecorded(ref)}
         if unrecorded:
             self._waiters.append(_Waiter(unrecorded, on_done))
@@ -106,7 +107,7 @@
         self._submitted.discard(ref)
 
     def _notify_waiters(self, ref: records.TurnRef) -> None:
-        """Call those that waited for nothing but this turn."""
+        """Call the functions that waited for this turn only."""
         for waiter in self._waiters:
             waiter.unrecorded.discard(ref)
         done = [waiter for waiter in self._waiters if not waiter.unrecorded]
--- a/postspring/histories/journal.py
+++ b/postspring/histories/journal.py
@@ -1,10 +1,10 @@
-"""The journal: every turn that is opened, completed or given up.
+"""The journal: every turn that is opened, completed or ended.
 
-Any VM may work on any program.  Which turns there are is decided by the
-records in the log, and whether a turn may run by what stands before its
-own, so no VM owns a program and none has to be found or replaced.
-While the log is away, turns go on from what was reserved in it before, and
-whole turns are kept by other VMs too until they are recorded.
+Any VM may work on any program. The records in the log decide which turns there
+are, and the records before an opening decide whether its turn may run, so no
+VM owns a program and none has to be found or replaced. While the log is
+unavailable, turns run on tokens that were reserved in it before, and other VMs
+hold replicas of whole turns until they are recorded.
 """
 
 from collections.abc import Callable
@@ -45,16 +45,16 @@
     log : KeyedLog
         The shared log.
     timers : Timers
-        For resending and timeout.
+        For retries and timeouts.
     author : str
-        This VM's incarnation: another one after each start.
+        This VM's incarnation, a new one after each start.
     replica_holders : ReplicaHolders
-        Keep copies of what is not in the log yet.
+        Other VMs, which hold replicas of records that the log lacks.
     catch_up_rate : callable
-        Returns with how many appends a second this VM may catch up when
-        the log is back.
+        Returns with how many appends a second this VM may catch up when the
+        log is available again.
     sizes : Sizes
-        What the log takes.
+        Size limits of the log.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
 
     @property
     def held(self) -> int:
-        """Number of whole turns whose records the log lacks."""
+        """Number of whole turns whose records this VM lacks from the log."""
         return len(self._held_by_ref)
 
     @property
@@ -127,14 +127,14 @@
         ]
 
     def hand_over_while(self, is_stopping: Callable[[], bool]) -> None:
-        """Give what the log lacks to VMs that stay, while this one stops."""
+        """Send unrecorded records to VMs that keep running, on stopping."""
         self._timers.call_every(
             handover.CHECK_SECONDS,
             lambda: is_stopping() and self._handover.send_next_batch(),
         )
 
     def log_is_back(self) -> None:
-        """Do at once what waits for the log."""
+        """Start the retries of all that waits for the log."""
         self._partitions.log_is_back()
 
     # -- writing --------------------------------------------------------------
@@ -149,7 +149,7 @@
         on_done: openings.OnOpened,
         on_error: openings.OnError,
     ) -> None:
-        """Get the right to run a turn, from a reserve or from the log."""
+        """Get the right to run a turn, from a local account or the log."""
         known = self._partitions.program(program)
         is_unresponsive = self._partitions.is_unresponsive(
             partitions.place_of_program(program)
@@ -171,7 +171,8 @@
             self._opener.note_running(ref)
             on_done(shares.TurnState.OPEN, ticket)
         elif known.is_spent(ceiling, budget):
-            # Settled turns only become more: no record can change it.
+            # The tokens of settled turns never decrease: no record can make
+            # this turn fit.
             on_done(shares.TurnState.REFUSED, log_ticket)
         else:
             if is_unresponsive:
@@ -192,12 +193,13 @@
         line: str = "",
         upstream: str = "",
     ) -> None:
-        """Settle a turn that is no part of the history.
+        """Settle a turn that is not part of the history.
 
         Parameters
         ----------
         line, upstream : str
-            Where the line's prompt is in memory now.
+            The turn's conversation, and the upstream that has its prompt in
+            memory now.
         """
         ref = records.TurnRef(ticket.program, ticket.turn)
         self._opener.note_stopped(ref)
@@ -211,7 +213,8 @@
             ticket.program, ticket.turn, claim, tokens, line, upstream
         )
         self.accounts.note_spent(ticket, tokens)
-        # Lost, one of a home is not charged at all, and others too much.
+        # If this record is lost, an offline turn is not charged at all, and
+        # any other turn is charged with its ceiling.
         self._settling[ref] = record
 
         def settled(fold: fold_module.ProgramFold) -> None:
@@ -221,7 +224,8 @@
         report_loss = self._make_loss_reporter(ticket)
         self._commit(record, recording.KEEP_SECONDS, settled, report_loss)
         if ticket.origin is accounts.Origin.HOME:
-            # Nothing in the log charges it, and this VM may die first.
+            # No record in the log charges it, and this VM may die before one
+            # does.
             data = records.encode_record(record)
             self.replica_holders.keep(data, lambda copies: None)
 
@@ -236,12 +240,12 @@
         on_done: Callable[[str], None],
         timeout: float = completion.DEFAULT_TIMEOUT_SECONDS,
     ) -> Callable[[], None]:
-        """Add a whole turn to the history, and note where it stands.
+        """Add a whole turn to the history, and record its location.
 
-        ``on_done`` is told once that the turn is safe: ``logged``, or
-        ``held`` by other VMs until the log is back; or, after the timeout,
-        that it is kept ``nowhere`` but here.  The log is offered it still.
-        Returns what has it told at once.
+        ``on_done`` is called once with where the turn is stored: ``logged``;
+        or ``held`` by other VMs until the log is available again; or, after
+        the timeout, ``nowhere`` but here. Its append is retried in any case.
+        Returns a function that ends the wait at once.
         """
         record = records.WholeTurn(
             ticket.program,
@@ -275,17 +279,17 @@
         return durability.finish_now
 
     def keep_copy(self, data: bytes, is_log_away: bool = False) -> None:
-        """Keep another VM's record; see to it that it gets into the log.
+        """Hold a replica of another VM's record, and get it into the log.
 
         Parameters
         ----------
         is_log_away : bool
-            Its author does not reach the log.
+            Whether its author can't reach the log.
 
         Raises
         ------
         MalformedRecord
-            If it is no record of a turn's end.
+            If it is not the record of a turn's end.
         """
         record = records.decode_record(data)
         if isinstance(record, records.EndedTurn):
@@ -303,20 +307,20 @@
             place = partitions.place_of_program(record.program)
             is_urgent = is_log_away and self._partitions.is_fast(place)
             names = {"program": record.program, "request": record.turn}
-            LOG.info("copy kept", extra=names | {"is_urgent": is_urgent})
+            LOG.info("replica stored", extra=names | {"is_urgent": is_urgent})
             replica_check.start(is_urgent)
 
     def record_for_another(
         self, turns: list[bytes], on_done: Callable[[], None]
     ) -> None:
-        """Append whole turns of a VM without the log, with their places.
+        """Append whole turns of a VM without the log, and their locations.
 
-        ``on_done`` is told once all of them stand there.
+        ``on_done`` is called once all of them are recorded.
 
         Raises
         ------
         MalformedRecord
-            If one is no record of a whole turn.
+            If one is not the record of a whole turn.
         """
         decoded = [records.decode_record(data) for data in turns]
         for record in decoded:
@@ -324,15 +328,15 @@
         self._recorder.record_for_another(decoded, on_done)
 
     def drop_replica(self, ref: records.TurnRef) -> None:
-        """Forget a copy whose records stand in the log."""
+        """Drop a replica whose record and location are in the log."""
         self._held_by_ref.note_recorded(ref)
 
     def append_replica(self, record: records.WholeTurn) -> None:
-        """Append a copy that is not in the log."""
+        """Append a replica that the log lacks."""
         self._recorder.append_replica(record, 0.0)
 
     def append_replica_location(self, record: records.WholeTurn) -> None:
-        """Append where a copy stands whose place is not in the log."""
+        """Append the location of a replica whose record is in the log."""
         ref = records.TurnRef(record.program, record.turn)
         logged = functools.partial(self.drop_replica, ref)
         report_loss = self._make_loss_reporter(record)
@@ -343,12 +347,13 @@
     # -- own ------------------------------------------------------------------
 
     def _make_loss_reporter(self, item) -> openings.OnError:
-        """Return what reports a record that never got into the log."""
+        """Return the error handler of a record that must not be lost."""
 
         def report(error: errors.HistoryError) -> None:
             ref = records.TurnRef(item.program, item.turn)
             is_whole = isinstance(item, records.WholeTurn)
-            # Another VM may have recorded it, and it is told once.
+            # A turn that another VM has recorded is not lost, and a loss is
+            # logged once.
             is_lost = not is_whole or self._held_by_ref.is_unrecorded(ref)
             self._held_by_ref.note_lost(ref)
             self._settling.pop(ref, None)
@@ -383,4 +388,4 @@
 
 def _check_is_whole(record: records.Record) -> None:
     if not isinstance(record, records.WholeTurn):
-        raise errors.MalformedRecord("not the end of a turn")
+        raise errors.MalformedRecord("not the record of a whole turn")
--- a/postspring/histories/openings.py
+++ b/postspring/histories/openings.py
@@ -1,4 +1,4 @@
-"""Openings: turns that ask the log for their right to run."""
+"""Opens turns in the log, which decides whether they may run."""
 
 from collections.abc import Callable
 
@@ -27,10 +27,11 @@
     ==========
 
     commit : callable
-        Appends a record; takes a timeout and what to call with the fold, or
-        with an error.
+        Appends a record; takes a timeout and functions to call with the fold
+        or with an error.
     settle : callable
-        Appends the record of a turn that never ran, however long it takes.
+        Appends the record of a turn that never ran, with a timeout that no
+        caller waits for.
     """
 
     def __init__(
@@ -45,17 +46,17 @@
         self._running: set[records.TurnRef] = set()
 
     def note_running(self, ref: records.TurnRef) -> None:
-        """Take note that a turn may be running here."""
+        """Note that a turn may be running here."""
         self._running.add(ref)
 
     def note_stopped(self, ref: records.TurnRef) -> None:
-        """Take note that a turn doesn't run here any more."""
+        """Note that a turn no longer runs here."""
         self._running.discard(ref)
 
     def conflicting_state(
         self, known: program_module.Program, ref: records.TurnRef
     ) -> shares.TurnState | None:
-        """Return what keeps a turn's id from being used, as known here."""
+        """Return the state that keeps a turn's id from being used, if any."""
         if ref in self._running:
             return shares.TurnState.TAKEN
         return known.state_after_run(ref.turn)
@@ -68,7 +69,7 @@
         on_done: OnOpened,
         on_error: OnError,
     ) -> None:
-        """Append the record that opens a turn, and judge it at its place."""
+        """Append the record that opens a turn; decide on it at its offset."""
         record = self._claim_writer.opening_record(known, ticket)
         ref = records.TurnRef(record.program, record.turn)
         self.note_running(ref)
@@ -78,7 +79,8 @@
                 fold, record, ticket
             )
             if state is not shares.TurnState.OPEN:
-                # Others charge it until this VM, which knows, has said so.
+                # Other VMs charge it until this VM, the only one that decides,
+                # has withdrawn it.
                 self.note_stopped(ref)
                 self._settle(self._claim_writer.withdrawal_record(record))
             on_done(state, decided)
--- a/postspring/histories/partition.py
+++ b/postspring/histories/partition.py
@@ -1,8 +1,9 @@
-"""One partition as this VM sees it: what it folded, what it appends.
+"""One partition as this VM sees it: its fold, and appends to it.
 
-Appends are not conditional.  The answer tells the offset; if others
-appended in between, what they wrote is read and folded first, and the fold
-says what counts.  With one VM at work on a partition that is one call.
+Appends are not conditional. The answer holds the offset; if other VMs have
+appended in between, their records are read and folded first, and the fold
+decides what counts. While one VM alone appends to a partition, that takes one
+call.
 """
 
 from collections.abc import Callable
@@ -23,17 +24,17 @@
 
 LOG = logging.getLogger(__name__)
 
-# Pause when the log is busy, in seconds: many VMs share its rate, and calls
-# that come again at once would keep it busy.
+# Pause when the log rejects a call as beyond its rate, in seconds: many VMs
+# share the rate, and immediate retries would keep exceeding it.
 BUSY_RETRY_SECONDS = 0.5
-# A longer timeout than this keeps nobody waiting, in seconds: callers
-# wait for some seconds, what has to be recorded can wait for minutes.
+# With a longer timeout than this no caller waits, in seconds: callers wait for
+# some seconds, but records that have to be appended can wait for minutes.
 MAX_CALLER_WAIT_SECONDS = 30.0
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class _Waiter:
-    """Somebody who waits for an append, or for a read to the end."""
+    """A pending append, or a pending read to the end of the partition."""
 
     entry: keyedlog.LogEntry | None
     on_done: Callable[[Any], None]
@@ -49,20 +50,20 @@
     ==========
 
     fold_type : type
-        Makes the fold, anew when the records have to be read from the
-        start.
-    answers : LogAnswers
-        What the calls of all partitions tell of the log.
-    on_back : callable
+        Creates the fold, and a new one when the records have to be read from
+        the start.
+    log_health : LogHealth
+        State of the log, by the calls to all partitions.
+    on_recovered : callable
         Called when a call succeeds after others have failed.
     is_ordered : bool
-        What an entry comes to depends on those before it, so an append is
-        done only when they are folded.  Otherwise it is done when it stands
-        in the log, and what others wrote is read when somebody asks.
-    spread : callable
-        Makes of a pause the one after which this partition's turn comes.
+        Whether the effect of an entry depends on those before it, so that an
+        append is done only when they are folded. Otherwise it is done when the
+        entry is in the log, and other VMs' entries are read on request.
+    pace_retry : callable
+        Returns the pause until this partition's retry, given the least one.
     call_bytes : int
-        Most that is sent in one call: a larger one is refused for good.
+        Most bytes of one call: the log rejects a larger call for good.
     """
 
     def __init__(
@@ -100,12 +101,12 @@
 
     @property
     def is_unavailable(self) -> bool:
-        """Whether its last call failed, as far as known."""
+        """Whether the partition fails, as far as known."""
         return self._reachability.is_unavailable
 
     @property
     def is_unresponsive(self) -> bool:
-        """Whether it can't be reached, or has not answered for long."""
+        """Whether it is unavailable, or an append has no answer for long."""
         waited = self._timers.now() - self._sent_at
         return (
             self.is_unavailable
@@ -114,12 +115,12 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether something waits for its next try."""
+        """Whether a retry is scheduled."""
         return self._retry is not None
 
     @property
     def has_waiting_caller(self) -> bool:
-        """Whether somebody waits for it now."""
+        """Whether a caller waits for it now."""
         now = self._timers.now()
         return any(
             waiter.caller_waits_until > now
@@ -128,12 +129,12 @@
 
     @property
     def had_waiting_caller(self) -> bool:
-        """Whether it holds something that a caller has relied on since."""
+        """Whether a caller waits, or has waited, for a pending append."""
         return any(waiter.caller_waits_until > 0 for waiter in self._commits)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nobody waits for this partition."""
+        """Whether no call is under way or pending."""
         return not (self._is_step_open or self._commits or self._refreshes)
 
     def commit(
@@ -144,16 +145,18 @@
         on_error: Callable[[errors.HistoryError], None],
         caller_wait: float = 0.0,
     ) -> None:
-        """Append an entry; ``on_done`` gets the fold that includes it.
+        """Append an entry; call ``on_done`` with the fold.
+
+        The fold includes the entry if the partition is ordered.
 
         Parameters
         ----------
         timeout : float
-            Seconds after which to give up; the entry may be appended all
-            the same.  With the timeout of somebody who waits now, it
-            doesn't wait for its turn in the queue of retries.
-        awaited : float
-            Seconds for which somebody waits, if the timeout is longer.
+            Seconds after which to give up; the entry may be appended
+            nevertheless. A timeout that is short enough for a caller to wait
+            for it also has a pending retry expedited.
+        caller_wait : float
+            Seconds for which a caller waits, if the timeout is longer.
         """
         waiter = _Waiter(entry, on_done, on_error)
         self._wait(self._commits, waiter, timeout, caller_wait)
@@ -164,7 +167,7 @@
         on_done: Callable[[Any], None],
         on_error: Callable[[errors.HistoryError], None],
     ) -> None:
-        """Fold all that is in the partition now."""
+        """Fold all records that are in the partition now."""
         waiter = _Waiter(None, on_done, on_error)
         self._wait(self._refreshes, waiter, timeout)
 
@@ -236,7 +239,7 @@
     def _appended(
         self, commits: list[_Waiter], first: int, seconds: float
     ) -> None:
-        """Take note that a batch stands in the log."""
+        """Handle the answer that a batch is in the log."""
         self._note_success()
         self._log_health.note_append(seconds)
         self._sent_at = math.inf
@@ -256,7 +259,7 @@
             self._read_to(end, lambda: self._release(self._commits, commits))
 
     def _not_appended(self, error: keyedlog.KeyedLogError) -> None:
-        """Take note that a batch was not accepted; try again."""
+        """Handle a failed append; schedule its retry."""
         self._note_failure("append failed", error)
         self._sent_at = math.inf
         is_busy = isinstance(error, keyedlog.LogBusy)
@@ -265,17 +268,17 @@
         )
 
     def schedule_retry(self, seconds: float) -> None:
-        """Do what waits for its next try after some time, and not before."""
+        """Schedule the pending retry after so many seconds, not before."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
         self._retry_at = self._timers.now() + seconds
         self._retry_timer = self._timers.call_later(seconds, self._retry_now)
 
     def expedite_retry(self) -> None:
-        """Don't wait for a turn in the queue if the log is back.
+        """Retry before the allotted slot if the log answers again.
 
-        The queue is for what nobody waits for: a turn timed out in it while
-        the log answered others.
+        The slots are for retries that no caller waits for: a turn timed out
+        before its slot while the log answered other calls.
         """
         if self._retry is None or not self._reachability.can_expedite_retry:
             return
@@ -292,7 +295,7 @@
     def _retry_after_pause(
         self, function: Callable[[], None], minimum: float = 0.0
     ) -> None:
-        # The pause alone let many partitions come again each second.
+        # With the pause alone, many partitions retried in each second.
         self._retry = function
         self.schedule_retry(
             self._pace_retry(self._reachability.next_pause(minimum))
@@ -303,7 +306,7 @@
             self._on_recovered()
 
     def _note_failure(self, text: str, error: keyedlog.KeyedLogError) -> None:
-        """Log the first failure in a row, unless no call was made."""
+        """Note a failed call; log the first in a row if the call was made."""
         if isinstance(error, keyedlog.LogBusy):
             self._reachability.note_throttled()
             return
@@ -343,8 +346,8 @@
 
     def _read_newest(self, end: int | None, on_read: Callable) -> None:
         def on_page(page: keyedlog.LogPage) -> None:
-            # What stood before a record may have been dropped: nothing that
-            # depends on the order may be concluded from what is left.
+            # Compaction may have dropped records before those that are left,
+            # so nothing may be decided by their order.
             self.fold = self._fold_type()
             for entry in page.entries:
                 self.fold.apply(entry.value, is_ordered=False)
--- a/postspring/histories/partitions.py
+++ b/postspring/histories/partitions.py
@@ -1,4 +1,4 @@
-"""Which partition holds what, and the ones that this VM works on."""
+"""Partitions of programs and turns, and those that this VM works on."""
 
 from collections.abc import Callable
 import math
@@ -17,19 +17,20 @@
 
 __all__ = ["Partitions", "place_of_location", "place_of_program"]
 
-# Partitions that programs are spread over.  The more there are, the more
-# seldom two VMs write to one and have to read each other's records.  The
+# Partitions that programs are spread over. The more there are, the less often
+# two VMs append to the same one and have to read each other's records. The
 # platform has 100 topics of 24 partitions; 20 topics are left for others.
 PROGRAM_PARTITIONS = 1920
 LOCATION_PARTITIONS = 24
-# A partition that nobody used for this long is forgotten, and read again
-# when it is needed; seconds, above the retention of the users' routes.
+# A partition that was not used for this long is dropped, and read again when
+# it is needed; seconds, above the retention of the users' routes.
 IDLE_SECONDS = 90.0
 SWEEP_SECONDS = 10.0
-# When the log is back, more partitions than this are not tried at once but
-# one after the other: every VM does the same, and they share its rate.
+# When the log is available again, up to this many partitions are retried at
+# once, and more of them one after the other: every VM does the same, and they
+# share the log's rate.
 MAX_IMMEDIATE_RETRIES = 8
-# Appends a second with which a VM catches up, unless it is told otherwise.
+# Appends a second with which a VM catches up, unless configured otherwise.
 DEFAULT_CATCH_UP_RATE = 50.0
 
 _fold_type_by_subject = {
@@ -45,13 +46,13 @@
 
 
 def place_of_location(turn: records.TurnId) -> keyedlog.LogPlace:
-    """Return the partition that tells where a turn stands."""
+    """Return the partition that holds a turn's location."""
     number = xxhash.xxh64_intdigest(turn.encode()) % LOCATION_PARTITIONS
     return keyedlog.LogPlace(keyedlog.Subject.LOCATIONS, number)
 
 
 class Partitions:
-    """The partitions that this VM has folded, made when they are needed.
+    """The partitions that this VM has folded, created on demand.
 
     Parameters
     ==========
@@ -59,7 +60,7 @@
     catch_up_rate : callable
         Returns with how many appends a second this VM may catch up.
     sizes : Sizes
-        What the log takes.
+        Size limits of the log.
     """
 
     def __init__(
@@ -87,7 +88,7 @@
         return self._by_place.get(place)
 
     def get(self, place: keyedlog.LogPlace) -> partition_module.Partition:
-        """Return a partition; begin to work on it if that is new."""
+        """Return a partition, which is created if this VM lacks it."""
         partition = self._by_place.get(place)
         if partition is None:
             partition = partition_module.Partition(
@@ -105,7 +106,7 @@
         return partition
 
     def program(self, program: records.ProgramId) -> program_module.Program:
-        """Return a program as this VM knows it, which may be not at all."""
+        """Return a program as this VM knows it, empty if it is unknown."""
         partition = self.find(place_of_program(program))
         found = None
         if partition is not None:
@@ -118,14 +119,14 @@
         return None if partition is None else partition.fold.whole_turn(ref)
 
     def is_recorded(self, ref: records.TurnRef) -> bool:
-        """Return whether a turn and its place are known to be recorded."""
+        """Return whether a turn and its location are known to be recorded."""
         partition = self.find(place_of_location(ref.turn))
         if partition is None or self.whole_turn(ref) is None:
             return False
         return ref.turn in partition.fold.program_by_turn
 
     def is_unresponsive(self, place: keyedlog.LogPlace) -> bool:
-        """Return whether a partition can't be reached, as far as known."""
+        """Return whether a partition is known to be unavailable or late."""
         return self._log.is_down or self.get(place).is_unresponsive
 
     def is_unavailable(self, place: keyedlog.LogPlace) -> bool:
@@ -133,14 +134,15 @@
         return self._log.is_down or self.get(place).is_unavailable
 
     def is_fast(self, place: keyedlog.LogPlace) -> bool:
-        """Return whether a partition takes appends at once, as known."""
+        """Return whether a partition is available and appends are fast."""
         return not self.is_unavailable(place) and self._log_health.is_fast
 
     def log_is_back(self) -> None:
-        """Do what waits for its next try, spread by the rate.
+        """Schedule all pending retries at the catch-up rate.
 
-        Every partition that gets through says so: what is on its way then
-        stays as it was dealt out.  What somebody waits for goes first.
+        Every partition whose call succeeds again calls this: while retries are
+        under way, their slots stay as allotted. Partitions that callers wait
+        for, or have waited for, come first.
         """
         self._log_health.note_answer()
         if self._timers.now() < self._catch_up_ends_at:
@@ -150,7 +152,7 @@
             for partition in self._by_place.values()
             if partition.is_waiting
         ]
-        # Turns that callers had whole are kept by VMs only until then.
+        # Until then only VMs hold turns whose callers have the whole answer.
         waiting.sort(key=lambda partition: not partition.had_waiting_caller)
         self._retry_pacer.restart()
         pauses = [self._retry_pacer.allot_pause(0.0) for partition in waiting]
--- a/postspring/histories/ports.py
+++ b/postspring/histories/ports.py
@@ -1,4 +1,4 @@
-"""What histories need of the other VMs."""
+"""Port through which the journal stores records on other VMs."""
 
 import abc
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 
 class ReplicaHolders(abc.ABC):
-    """Other VMs that keep copies of what is not in the log yet."""
+    """Other VMs, which hold replicas of records that the log lacks."""
 
     @abc.abstractmethod
     def keep(
@@ -16,9 +16,13 @@
         on_done: Callable[[int], None],
         is_log_away: bool = False,
     ) -> None:
-        """Give a copy to some VMs; hand over how many have it.
+        """Send a replica to some VMs; report how many of them hold it.
 
-        If the log is away here, one that has it records the copy at once.
+        Parameters
+        ----------
+        is_log_away : bool
+            This VM can't reach the log, so a VM whose log answers fast records
+            the replica without the usual delay.
         """
 
     def record(
@@ -27,32 +31,32 @@
         timeout: float,
         on_done: Callable[[bool], None],
     ) -> None:
-        """Have a VM that reaches the log record whole turns, for certain.
+        """Have a VM that reaches the log record whole turns.
 
-        Nobody does, unless this is overridden.
+        Unless it is overridden, no VM records them.
 
         Parameters
         ----------
         timeout : float
-            Seconds after which the answer is that nobody has.
+            Seconds after which the turns are reported as not recorded.
         on_done : callable
-            Told whether all of them stand in the log.
+            Called with whether all of them are in the log.
         """
         on_done(False)
 
     def hand_over(
         self, records: list[bytes], on_done: Callable[[bool], None]
     ) -> None:
-        """Give records to VMs that stay; tell if enough have all of them.
+        """Send records to VMs that keep running; report if enough took all.
 
-        Nobody takes them, unless this is overridden.
+        Unless it is overridden, no VM takes them.
         """
         on_done(False)
 
 
 class NoReplicaHolders(ReplicaHolders):
-    """A VM alone."""
+    """A VM without other VMs to hold its replicas."""
 
     def keep(self, record, on_done, is_log_away=False) -> None:
-        """Report that nobody has a copy."""
+        """Report that no VM holds a replica."""
         on_done(0)
--- a/postspring/histories/program.py
+++ b/postspring/histories/program.py
@@ -1,4 +1,4 @@
-"""The program aggregate: a tree of turns and one account of tokens."""
+"""The program aggregate: a tree of turns and an account of tokens."""
 
 import dataclasses
 
@@ -7,12 +7,13 @@
 
 __all__ = ["Program", "Turn"]
 
-# Turns of the same size that a VM would like to have reserved.
+# Turns of the same size for which a VM tries to have tokens reserved.
 RESERVE_TURNS = 4
-# Turns that stay free for other VMs when one reserves ahead.
+# Turns whose tokens stay free for other VMs when one reserves ahead.
 KEPT_FREE_TURNS = 2
-# One part in so many of the rest may be reserved by a VM.  A line of turns
-# goes through many VMs, and what a dead one has reserved is never free again.
+# A VM may reserve one part in this many of the remaining budget. A
+# conversation's turns run on many VMs, and the reserve of a dead VM is never
+# released.
 RESERVED_PART = 8
 
 _RANK_BY_STATE = {
@@ -24,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Turn:
-    """One turn."""
+    """One turn of a program."""
 
     state: shares.TurnState
     parent: records.TurnRef | None = None
@@ -34,7 +35,7 @@
 
     @classmethod
     def from_record(cls, record: records.WholeTurn) -> "Turn":
-        """Return the turn that a record of a whole turn tells of."""
+        """Return the turn that a record of a whole turn describes."""
         return cls(
             shares.TurnState.WHOLE,
             record.parent,
@@ -45,9 +46,9 @@
 
     @property
     def rank(self) -> tuple:
-        """Which one of two stands: whole before ended before open.
+        """Precedence among two versions: whole, then ended, then open.
 
-        The rest only has to be the same on all VMs.
+        The other fields only make the choice the same on all VMs.
         """
         return (
             _RANK_BY_STATE[self.state],
@@ -59,24 +60,24 @@
 
 
 class Program:
-    """A program's turns and account: what a set of records adds up to.
+    """A program's turns and account, as a set of records defines them.
 
     Explanation
     ===========
 
-    An append may take effect twice, or long after its sender gave up, and a
-    VM that comes late reads only what a compaction has left.  So turns,
-    charge and reserves depend on which records there are, and not on their
-    order: all VMs that have read the log agree on them.
+    An append may take effect twice, or long after its sender gave up, and a VM
+    that starts late reads only the records that a compaction has left. Turns,
+    charge and reserves therefore depend on which records there are, and not on
+    their order: all VMs that have read the log agree on them.
 
-    Whether a turn may run is judged by the VM that opened it, from all that
-    stands before its record.  The others charge its ceiling until its author
-    has settled it, also if it seems not to fit: they may have read less.
+    The VM that opened a turn decides whether it may run, from all records
+    before its own. Other VMs charge the turn's ceiling until its author has
+    settled it, even if it seems not to fit: they may have read fewer records.
 
-    A VM may reserve tokens ahead, so that its next turn needs no record
-    before it starts.  A reserve is charged until its VM's records settle
-    it; so what a VM spends from it while it can't reach the log is
-    charged already, also if the VM dies.
+    A VM may reserve tokens ahead, so that its next turn can start without a
+    record. A reserve is charged until its VM's records settle it; so tokens
+    that a VM spends from it while it can't reach the log are charged already,
+    even if the VM dies.
 
     Parameters
     ==========
@@ -86,12 +87,13 @@
     charged : int
         Tokens of settled turns and ceilings of the others.
     settled : int
-        Tokens of settled turns: never becomes less.
+        Tokens of settled turns; never decreases.
 
     Explanation
     ===========
 
-    Where its lines ran last is a hint, and may differ between VMs.
+    The upstream where a conversation ran last is a hint, and may differ
+    between VMs.
 
     Examples
     ========
@@ -140,13 +142,13 @@
     def open(
         self, record: records.OpenedTurn, is_ordered: bool = True
     ) -> shares.TurnState | None:
-        """Fold a record that opens a turn; return if it may run.
+        """Fold a record that opens a turn; return whether the turn may run.
 
         Parameters
         ----------
         is_ordered : bool
-            All that stands before the record in the log was folded before
-            it.  Otherwise it is judged when its author asks.
+            Whether all records before this one were folded before it.
+            Otherwise nothing is decided until its author calls ``decide``.
         """
         self._merge_turn(record.turn, Turn(shares.TurnState.OPEN))
         self._add_record(record, is_ordered)
@@ -155,33 +157,33 @@
     def complete(
         self, record: records.WholeTurn, is_ordered: bool = True
     ) -> None:
-        """Fold the record of a turn that ran to its end."""
+        """Fold the record of a whole turn."""
         self._merge_turn(record.turn, Turn.from_record(record))
         self._add_record(record, is_ordered)
 
     def end(self, record: records.EndedTurn, is_ordered: bool = True) -> None:
-        """Fold the record of a turn that ended without an answer."""
+        """Fold the record of a turn that ended without a history."""
         self._merge_turn(record.turn, Turn(shares.TurnState.ENDED))
         self._add_record(record, is_ordered)
         if is_ordered:
             self.note_upstream(record.line, record.upstream)
 
     def note_upstream(self, line: str, upstream: str) -> None:
-        """Take note that an upstream has a line's prompt in memory."""
+        """Note that an upstream has a conversation's prompt in memory."""
         if upstream:
             self._upstream_by_line.pop(line, None)
             self._upstream_by_line[line] = upstream
 
     def place_of(self, line: str) -> str:
-        """Return the id of the upstream where a line ran last, or empty.
+        """Return the upstream where a conversation ran last, or empty.
 
-        A new line begins with what its program has said: it is in memory
-        where the program ran last.
+        A new conversation starts with what its program has generated, which is
+        in memory where the program ran last.
 
         Examples
         --------
         >>> program = Program("p")
-        >>> program.note_place("main", "u1")
+        >>> program.note_upstream("main", "u1")
         >>> program.place_of("main"), program.place_of("sub-agent")
         ('u1', 'u1')
         """
@@ -191,17 +193,17 @@
         return found or ""
 
     def whole_turn(self, turn: records.TurnId) -> Turn | None:
-        """Return a turn of the history, or None if it is not one."""
+        """Return a turn of the history, or None if the turn is not whole."""
         found = self.turn_by_id.get(turn)
         if found is not None and found.state is shares.TurnState.WHOLE:
             return found
         return None
 
     def decide(self, record) -> shares.Decision:
-        """Return what a folded record comes to; its first place counts.
+        """Return the decision on a folded record, which is taken once.
 
-        One that was read out of order is judged against all that is known:
-        more than stood before it.
+        A record that was read out of order is decided by all known records,
+        which are more than those before it.
         """
         contribution = self._contribution_of(record)
         entry = contribution.find(_entry(record))
@@ -230,16 +232,17 @@
         return None
 
     def is_spent(self, ceiling: int, budget: int | None) -> bool:
-        """Return whether no turn of this size can ever fit again."""
+        """Return whether no turn of this size can ever fit the budget."""
         return budget is not None and self.settled + ceiling > budget
 
     def reservable_tokens(
         self, ceiling: int, budget: int | None, own: int, used: int
     ) -> int:
-        """Return what a VM may reserve for its next turns.
+        """Return the tokens that a VM may reserve for its next turns.
 
-        At most an eighth of the rest, and two turns of this size stay free;
-        a reserve that no turn fits in is of no use.
+        They are at most an eighth of the remaining budget, and leave the
+        tokens of two turns of this size free; a reserve that is too small for
+        a turn is of no use.
 
         Parameters
         ----------
@@ -289,9 +292,9 @@
             entry.decision = self._decide(record, contribution, entry)
 
     def _charged_tokens(self, turn: records.TurnId) -> int:
-        """Return what a turn is charged with.
+        """Return the tokens that a turn is charged with.
 
-        Once it has run its openings count no more, whoever wrote them.
+        Once a turn has run, its openings no longer count, whoever wrote them.
         """
         found = self._contributions_by_turn[turn]
         if any(contribution.has_run for contribution in found):
@@ -299,7 +302,7 @@
         return sum(contribution.charged for contribution in found)
 
     def _decide(self, record, contribution, entry) -> shares.Decision:
-        """Judge a record by all that is folded, itself among it."""
+        """Decide on a record by all folded records, itself included."""
         claim = record.claim
         total = self.charged + self.reserved
         reserve_fits = claim.budget is None or total <= claim.budget
@@ -323,7 +326,7 @@
     def _conflicting_state(
         self, turn: records.TurnId, own: shares.Contribution
     ) -> shares.TurnState | None:
-        """Return what keeps a turn's id from being used, if anything does."""
+        """Return the state that keeps a turn's id from being used, if any."""
         ended = self.state_after_run(turn)
         if ended is not None:
             return ended
@@ -335,7 +338,7 @@
         return None
 
     def _certain_charge_of_others(self, own: shares.Contribution) -> int:
-        """Return what turns are charged with that ran, or surely may."""
+        """Return the charge of turns that have run, or surely may run."""
         return self.settled + sum(
             contribution.charged
             for turn, found in self._contributions_by_turn.items()
--- a/postspring/histories/reachability.py
+++ b/postspring/histories/reachability.py
@@ -1,4 +1,4 @@
-"""Whether a partition can be reached, as its own calls and others tell."""
+"""Availability of a partition, by its own calls and by those of others."""
 
 import dataclasses
 import math
@@ -11,36 +11,38 @@
     "Reachability",
 ]
 
-# Pause after a failed call, in seconds; doubled with each one up to the
-# second figure.  Every call is paid for, failed ones too.
+# Pause after a failed call, in seconds; doubled with each failure up to the
+# maximum. Every call is paid for, also one that fails.
 RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 1.0
-# What somebody waits for is tried this long after a failure at the latest,
-# in seconds: below the timeout of turns, 0.6 s.  Sooner, a partition that
-# was lost is not tried by all ways (peering/failover.py).
+# Longest pause after a failure while a caller waits, in seconds: below the
+# timeout of turns, 0.6 s. A retry before that is not sent through other VMs if
+# the partition was lost (peering/failover.py).
 CALLER_RETRY_SECONDS = 0.5
 # An append without an answer is sent again after these many seconds, the first
-# and the second behind a usual answer (4 ms) and a slow one (0.25 s).
+# and the second above a usual answer (4 ms) and a slow one (0.25 s).
 RESEND_SECONDS = (0.15, 0.3, 0.5)
-# Appends that take less are no sign of a slow log, in seconds: 4 ms is usual,
-# and a copy is asked for after 0.1 s.
+# Appends that take less don't indicate a slow log, in seconds: 4 ms is usual,
+# and a turn is replicated after 0.1 s.
 FAST_APPEND_SECONDS = 0.1
-# One without an answer for this long counts as failing, in seconds; if the
-# log is slow of late for longer, but less than a turn waits for it (0.6 s).
+# An append without an answer for this long counts as failed, in seconds. The
+# limit rises if the log has been slow of late, up to a maximum below the time
+# that a turn waits for the log (0.6 s).
 UNRESPONSIVE_SECONDS = 0.4
 MAX_UNRESPONSIVE_SECONDS = 0.55
-# Neither is so while an append is not late for what they take of late: a log
-# that syncs to a slow disk was given each twice or thrice, and taken for away.
+# Resends and this limit adapt to the recent duration of appends: with fixed
+# pauses, a log that syncs to a slow disk got each append two or three times
+# and was taken for unavailable.
 
 
 class LogHealth:
-    """Counts what tells that the log answers, whatever the partition.
+    """State of the log, by the calls to all partitions.
 
     Parameters
     ==========
 
     log : KeyedLog
-        Tells whether its last call failed.
+        Reports whether its last call failed.
     """
 
     def __init__(self, log: keyedlog.KeyedLog):
@@ -54,16 +56,16 @@
         return self._log.is_down
 
     def note_answer(self) -> None:
-        """Take note that the log answered."""
+        """Count an answer of the log."""
         self.answer_count += 1
 
     def note_append(self, seconds: float) -> None:
-        """Take note of how long an append took."""
+        """Note how long an append took."""
         self._append_time.note(seconds)
 
     @property
     def is_fast(self) -> bool:
-        """Whether appends take no longer of late than usual."""
+        """Whether appends of late took less than ``FAST_APPEND_SECONDS``."""
         return self._append_time.seconds < FAST_APPEND_SECONDS
 
     @property
@@ -88,14 +90,15 @@
     Parameters
     ==========
 
-    answers : int
-        The log's answers before.
+    answer_count : int
+        Answers of the log before the failure.
     was_down : bool
-        Whether the log itself tells that its last call failed.
-    is_own : bool
+        Whether the log reported that its last call failed.
+    was_log_answering : bool
         Whether the log was known to answer when the call was made.
-    is_answered : bool
-        Whether the log has answered this partition since: it is busy.
+    has_log_answered : bool
+        Whether the log has since rejected a call to this partition as beyond
+        its rate, and so has answered.
     """
 
     answer_count: int
@@ -105,21 +108,21 @@
 
 
 class Reachability:
-    """Tells whether a partition fails, and when it is to be tried again.
+    """Tracks whether a partition fails, and when to retry it.
 
     Explanation
     ===========
 
-    A failure counts until the log has answered any call.  From then on the
-    partition isn't known to fail, it is just not read yet; if it fails all
-    the same when it is tried, that counts for the pause to its next try, and
-    while this is under way.
+    A failure counts until the log has answered any call. From then on the
+    partition is not known to fail, but it has not been read yet. If it fails
+    again although the log answers, it counts as unavailable during the pause
+    before its next retry and while that retry is under way.
 
     Parameters
     ==========
 
-    answers : LogAnswers
-        What the calls of all partitions tell.
+    log_health : LogHealth
+        State of the log, by the calls to all partitions.
     """
 
     def __init__(self, timers: timers_module.Timers, log_health: LogHealth):
@@ -142,7 +145,7 @@
     def may_resend(self) -> bool:
         """Whether the log answers, if perhaps not each call.
 
-        Otherwise a call is sent once: each is paid for.
+        Otherwise a call is sent once, since each is paid for.
         """
         return self._failure is None or self._is_log_answering
 
@@ -160,23 +163,23 @@
 
     @property
     def can_expedite_retry(self) -> bool:
-        """Whether it failed, and the log has answered since."""
+        """Whether it failed and the log has answered since within its rate."""
         is_back = self.has_failed and not self.is_unavailable
         return is_back and not self._was_throttled
 
     @property
     def caller_retry_pause(self) -> float:
-        """Seconds until it may be tried if somebody waits for it."""
+        """Seconds until it may be retried if a caller waits for it."""
         pause = min(CALLER_RETRY_SECONDS, self._paused_until - self._failed_at)
         return max(0.0, self._failed_at + pause - self._timers.now())
 
     def note_call(self) -> None:
-        """Take note that a call is made."""
+        """Note that a call is made."""
         self._is_calling = True
         self._was_log_answering = self.has_failed and self._is_log_answering
 
     def note_success(self) -> bool:
-        """Take note that a call succeeded; tell if it is the first again."""
+        """Note that a call succeeded; return whether it ends a failure."""
         self._log_health.note_answer()
         was_failing = self.has_failed
         self._failure = None
@@ -185,9 +188,10 @@
         return was_failing
 
     def note_throttled(self) -> None:
-        """Take note of a call beyond the log's rate.
+        """Note that the log rejected a call as beyond its rate.
 
-        Not away: other VMs may be spending by it just now.
+        The partition does not count as unavailable: other VMs may be charging
+        turns to it at this moment.
         """
         self._is_calling = False
         self._was_throttled = True
@@ -195,7 +199,7 @@
             self._failure.has_log_answered = True
 
     def note_failure(self) -> None:
-        """Take note that a call failed."""
+        """Note that a call failed."""
         self._is_calling = self._was_throttled = False
         self._failure = _Failure(
             self._log_health.answer_count,
@@ -204,7 +208,7 @@
         )
 
     def next_pause(self, minimum: float) -> float:
-        """Begin the pause until the next try; return its seconds."""
+        """Start the pause before the next retry; return its seconds."""
         pause = max(self._pause, minimum)
         self._failed_at = self._timers.now()
         self._paused_until = self._failed_at + pause
--- a/postspring/histories/reading.py
+++ b/postspring/histories/reading.py
@@ -1,4 +1,4 @@
-"""Reading histories: what of them is known here, and what the log has."""
+"""Read access to histories: what this VM knows, and what the log has."""
 
 from collections.abc import Callable
 
@@ -12,13 +12,13 @@
 
 __all__ = ["JournalReader"]
 
-# For how long a partition that failed just now is tried, in seconds; above the
-# store's usual 4 ms.
+# Timeout for a partition that has just failed, in seconds; above the store's
+# usual 4 ms.
 FAILING_TIMEOUT_SECONDS = 0.05
 
 
 class JournalReader:
-    """The questions that a journal answers; it has what they are about."""
+    """The queries of a journal, which sets the attributes that they use."""
 
     accounts: accounts.LocalAccounts
     _partitions: partitions.Partitions
@@ -26,14 +26,14 @@
     _ended_replicas: copies.EndedTurnReplicas
 
     def charged(self, program: records.ProgramId) -> int:
-        """Return what the records here charge a program with."""
+        """Return the tokens that the folded records charge a program with."""
         known = self._partitions.program(program)
         return known.charged + known.reserved
 
     def unsettled(
         self, program: records.ProgramId
     ) -> dict[records.TurnId, int]:
-        """Return tokens of turns that ran at a home, and are not charged."""
+        """Return the tokens of offline turns that the log may not charge."""
         return {
             **self._ended_replicas.tokens_by_turn(program),
             **self.accounts.unsettled_offline(program),
@@ -41,13 +41,13 @@
 
     @property
     def knows_homes(self) -> bool:
-        """Whether any turn that ran at a home may not be charged yet."""
+        """Whether any offline turn may not be charged yet."""
         return (
             self.accounts.has_offline_accounts or len(self._ended_replicas) > 0
         )
 
     def home_left(self, program: records.ProgramId) -> int:
-        """Return what a program may still spend here without the log."""
+        """Return the tokens that a program may still spend here offline."""
         place = partitions.place_of_program(program)
         if not self._partitions.is_unresponsive(place):
             return 0
@@ -61,14 +61,14 @@
         unsettled: dict[records.TurnId, int],
         home_left: int,
     ) -> bool:
-        """Return whether a program's turns fit beside what homes used.
+        """Return whether a program's charge and offline use fit its budget.
 
         Parameters
         ----------
         unsettled : dict
             Tokens of turns that the log may lack.
         home_left : int
-            Tokens that homes may still spend.
+            Tokens that offline accounts may still spend.
         """
         if budget is None:
             return True
@@ -88,9 +88,9 @@
         on_done: Callable[[chains.Chain | None], None],
         on_error: openings.OnError,
     ) -> None:
-        """Collect the chain that ends with a turn; None if there is none.
+        """Find the chain that ends with a turn; None if there is none.
 
-        ``program`` is where it is looked for first.
+        The records of ``program`` are searched first.
         """
         search = chains.ChainSearch(self, timeout, on_done, on_error)
         search.start(self.ref_of(program, turn))
@@ -102,10 +102,10 @@
     def ref_of(
         self, program: records.ProgramId, turn: records.TurnId
     ) -> records.TurnRef:
-        """Return where a turn is looked for; ``program`` may continue it.
+        """Return where to look for a turn that ``program`` may continue.
 
-        Where a turn of another program stands is told by the log, unless
-        the turn is not in the log yet.
+        If the turn belongs to another program, its location in the log tells
+        which one, unless this VM holds the turn.
         """
         ref = records.TurnRef(program, turn)
         if self.known_turn(ref) is None:
@@ -123,11 +123,11 @@
         return whole
 
     def is_logged(self, ref: records.TurnRef) -> bool:
-        """Return whether a whole turn is known to stand in the log."""
+        """Return whether a whole turn is known to be in the log."""
         return self._partitions.whole_turn(ref) is not None
 
     def knows(self, program: records.ProgramId) -> bool:
-        """Return whether this VM has any turn of a program in memory."""
+        """Return whether this VM has any turn or account of a program."""
         return (
             bool(self._partitions.program(program).turn_by_id)
             or self.accounts.has_offline_account(program)
@@ -137,9 +137,9 @@
     def is_recorded(
         self, program: records.ProgramId, previous: records.TurnId | None
     ) -> bool:
-        """Return whether all that is known here of a program is in the log.
+        """Return whether all that this VM knows of a program is in the log.
 
-        Not so if this VM does not know the turn that is to be continued.
+        False as well if this VM does not know the turn to be continued.
         """
         if self.accounts.has_offline_account(program) or self._holds(program):
             return False
@@ -175,8 +175,9 @@
 
         Parameters
         ----------
-        waits_long : bool
-            Nobody waits: keep the whole timeout while the log is away, too.
+        keeps_timeout : bool
+            Keep the whole timeout even while the log is unavailable, since no
+            caller waits.
         """
         place = partitions.place_of_program(program)
         if self._partitions.is_unresponsive(place) and not keeps_timeout:
@@ -192,7 +193,7 @@
         on_done: Callable[[records.ProgramId | None], None],
         on_error: openings.OnError,
     ) -> None:
-        """Tell among which program's records a turn stands."""
+        """Find the program among whose records a turn is stored."""
         partition = self._partitions.get(partitions.place_of_location(turn))
         known = partition.fold.program_by_turn.get(turn)
         if known is not None:
@@ -205,13 +206,13 @@
         )
 
     def place_of(self, program: records.ProgramId, line: str) -> str:
-        """Return the upstream that has a line's prompt in memory, or empty."""
+        """Return the upstream with a conversation's prompt, or empty."""
         return self._partitions.program(program).place_of(line)
 
     # -- own ------------------------------------------------------------------
 
     def _holds(self, program: records.ProgramId) -> bool:
-        """Return whether a turn of a program is not in the log yet."""
+        """Return whether this VM holds a turn of a program."""
         if self._ended_replicas.has_program(program):
             return True
         return any(ref.program == program for ref in self._held_by_ref)
--- a/postspring/histories/recording.py
+++ b/postspring/histories/recording.py
@@ -1,4 +1,4 @@
-"""Appending the records of turns to their programs' partitions."""
+"""Appends the records of turns to their programs' partitions."""
 
 from collections.abc import Callable
 
@@ -19,12 +19,12 @@
     "is_unavailable",
 ]
 
-# How long records that have to get into the log are offered to it; seconds,
+# How long the append of a record that must not be lost is retried, in seconds;
 # above the retention of the users' routes.
 KEEP_SECONDS = 120.0
 # How long a caller waits for its turn's record, in seconds: until other VMs
-# keep copies (0.35 s), with room.  In the queue of retries the record of a
-# turn that had ended came after what was left of an outage.
+# hold replicas (0.35 s), with a margin. Without a waiting caller, the record
+# would be retried behind all that is left of an outage.
 CALLER_WAIT_SECONDS = 1.0
 
 
@@ -51,7 +51,7 @@
     on_error: Callable[[errors.HistoryError], None],
     caller_wait: float = 0.0,
 ) -> None:
-    """Append where a whole turn stands."""
+    """Append the location of a whole turn."""
     place = partitions_module.place_of_location(record.turn)
     location = records.TurnLocation(record.turn, record.program)
     entry = keyedlog.LogEntry(record.turn, records.encode_record(location))
@@ -68,15 +68,15 @@
     on_error: Callable[[errors.HistoryError], None],
     caller_wait: float,
 ) -> None:
-    """Append a whole turn and where it stands.
+    """Append a whole turn and its location.
 
     Parameters
     ----------
     on_folded : callable
-        Told when the turn stands among its program's records.
+        Called with the fold when the turn's record is in it.
     on_done : callable
-        Told when both stand in the log.
-    awaited : float
+        Called when both records are in the log.
+    caller_wait : float
         Seconds for which a caller waits for that.
     """
     both = completion.PairLatch(on_done)
@@ -94,7 +94,7 @@
 def expedite_retry(
     partitions: partitions_module.Partitions, record: records.WholeTurn
 ) -> None:
-    """Have what waits to record a whole turn tried now, if the log is back."""
+    """Retry pending appends of a whole turn now, if the log answers again."""
     for place in _places_of(record):
         partitions.get(place).expedite_retry()
 
@@ -118,7 +118,7 @@
 
 
 def _places_of(record: records.WholeTurn) -> tuple[keyedlog.LogPlace, ...]:
-    """Return the partitions that a whole turn and its place stand in."""
+    """Return the partitions of a whole turn and of its location."""
     return (
         partitions_module.place_of_program(record.program),
         partitions_module.place_of_location(record.turn),
--- a/postspring/histories/records.py
+++ b/postspring/histories/records.py
@@ -1,9 +1,10 @@
-"""Records of histories, as they stand in the log.
+"""Records of histories, as they are stored in the log.
 
-A record is a CBOR array: its kind, then its fields in order.  The log keeps
-the newest record of each key, and a record may stand in it twice or late.  A
-key ends with the digest of its record, so only what is the same record is
-dropped, and what remains tells the same as all that there was.
+A record is a CBOR array of its kind and its fields in order. Compaction keeps
+the newest record of each key, and a record may be stored twice or late. The
+key of a turn's record therefore ends with the record's digest: compaction
+drops duplicates only, and the remaining records fold to the same state as all
+of them.
 """
 
 from collections.abc import Callable
@@ -38,15 +39,15 @@
 
 
 class TurnRef(NamedTuple):
-    """A turn, and the program whose records it stands among."""
+    """A turn, and the program among whose records it is stored."""
 
     program: ProgramId
     turn: TurnId
 
 
-# A key's length is one byte in the platform's format.
+# The platform's format stores the length of a key in one byte.
 MAX_KEY_BYTES = 255
-# Of a key: the digest in hexadecimal and two separators.
+# The digest in hexadecimal and two separators.
 KEY_OVERHEAD_BYTES = 18
 
 _type_by_kind: dict[str, type] = {}
@@ -54,7 +55,7 @@
 
 
 def _register(kind: str) -> Callable[[type], type]:
-    """Return a decorator that registers a record type."""
+    """Return a decorator that registers a record type under a kind."""
 
     def register(cls: type) -> type:
         _type_by_kind[kind] = cls
@@ -65,13 +66,13 @@
 
 
 class Claim(NamedTuple):
-    """What a record says of the program's account.
+    """What a record changes in the program's token account.
 
     Parameters
     ==========
 
     author : str
-        The VM's incarnation.
+        Incarnation of the VM that wrote the record.
     ceiling : int
         Most tokens that the turn may generate; 0 if it never ran.
     budget : int or None
@@ -79,16 +80,16 @@
     granted : int
         Tokens that the author reserves for its next turns.
     from_reserve : bool
-        The turn was started from the author's reserve.
+        Whether the turn was charged to the author's reserve.
     returned : int
-        Tokens of the author's reserve that it gives back.
+        Tokens that the author releases from its reserve.
 
     Explanation
     ===========
 
-    What the record of a turn's end grants and returns stands in place of
-    what the author's opening of that turn did: so an opening that was given
-    up changes nothing, also if it takes effect afterwards.
+    The claim in the record of a turn's end replaces the claim of the author's
+    opening of that turn. A withdrawn opening therefore changes nothing, even
+    if it takes effect after its withdrawal.
     """
 
     author: str
@@ -102,7 +103,7 @@
 @_register("open")
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenedTurn:
-    """A VM is about to run a turn; its ceiling is charged until it ends."""
+    """A VM asks to run a turn, whose ceiling is charged until it ends."""
 
     program: ProgramId
     turn: TurnId
@@ -112,17 +113,17 @@
 @_register("whole")
 @dataclasses.dataclass(frozen=True, slots=True)
 class WholeTurn:
-    """A turn ran to its end.
+    """A turn completed and is part of the history.
 
     Parameters
     ==========
 
     parent : tuple or None
-        Program and id of the turn that it continues.
+        The turn that it continues, and that turn's program.
     tokens : int
-        Tokens handed to the caller.
+        Tokens delivered to the caller.
     input, output : bytes
-        The caller's body; the data of each event with a line feed.
+        Body of the caller's request; data of each event with a line feed.
     upstream : str
         Incarnation of the upstream that has the turn's history in memory.
     """
@@ -140,14 +141,14 @@
 @_register("ended")
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedTurn:
-    """A turn ended without becoming a part of the history.
+    """A turn ended without becoming part of the history.
 
     Parameters
     ==========
 
     line : str
-        The line of turns that it belongs to, if the caller carries the
-        conversation.
+        The conversation that the turn belongs to, if the caller sends all of
+        it with each turn.
     upstream : str
         Incarnation of the upstream that has the turn's prompt in memory, or
         empty.
@@ -164,7 +165,7 @@
 @_register("at")
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnLocation:
-    """Among which program's records a whole turn stands."""
+    """The program among whose records a whole turn is stored."""
 
     turn: TurnId
     program: ProgramId
@@ -174,13 +175,13 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Return a record as bytes."""
+    """Return the encoding of a record."""
     values = [getattr(record, name) for name in record.__slots__]
     return cbor2.dumps([_kind_by_type[type(record)], *values])
 
 
 def fits_key(program: str, turn: str) -> bool:
-    """Return whether records of a turn can have a key.
+    """Return whether the keys of a turn's records fit the longest key.
 
     Examples
     --------
@@ -192,7 +193,7 @@
 
 
 def record_key(record: Record, data: bytes) -> str:
-    """Return the key of a record of a turn; ``data`` is the record's bytes.
+    """Return the key of a turn's record whose encoding is ``data``.
 
     Examples
     --------
@@ -206,7 +207,12 @@
 
 
 def decode_record(data: bytes) -> Record:
-    """Return the record in ``data``; raise MalformedRecord if none is.
+    """Return the record that ``data`` encodes.
+
+    Raises
+    ------
+    MalformedRecord
+        If ``data`` is not the encoding of a record.
 
     Examples
     --------
@@ -218,8 +224,8 @@
         kind, *values = cbor2.loads(data)
         cls = _type_by_kind[kind]
         if len(values) > len(cls.__slots__):
-            raise ValueError("a record has more fields than it may")
-        # Records of an earlier version lack the last fields.
+            raise ValueError("the record has too many fields")
+        # Records of earlier versions lack the last fields.
         fields = dict(zip(cls.__slots__, values))
         for name, value in fields.items():
             fields[name] = _checked_field(name, value)
@@ -246,15 +252,15 @@
 
 
 def _checked_field(name: str, value: Any) -> Any:
-    """Return a field's value; it comes from outside."""
+    """Return a field's value if it is valid; records are external input."""
     if name == "claim":
         return _checked_claim(value)
     if name == "parent":
         return None if value is None else _checked_ref(value)
     if type(value) is not _TYPE_BY_FIELD[name]:
-        raise ValueError(f"{name} is a {type(value).__name__}")
+        raise ValueError(f"field {name} has type {type(value).__name__}")
     if type(value) is int and value < 0:
-        raise ValueError(f"{name} is less than nothing")
+        raise ValueError(f"field {name} is negative")
     return value
 
 
@@ -264,16 +270,18 @@
     if claim.budget is not None:
         counts.append(claim.budget)
     if not all(type(count) is int and count >= 0 for count in counts):
-        raise ValueError("a claim's counts are no numbers of tokens")
+        raise ValueError(
+            "a claim's token counts must be non-negative integers"
+        )
     if type(claim.from_reserve) is not bool:
-        raise ValueError("a claim's origin is no truth value")
+        raise ValueError("a claim's from_reserve must be a boolean")
     if not isinstance(claim.author, str):
-        raise ValueError("a claim's author is no text")
+        raise ValueError("a claim's author must be a string")
     return claim
 
 
 def _checked_ref(value: Any) -> TurnRef:
     program, turn = value
     if not isinstance(program, str) or not isinstance(turn, str):
-        raise ValueError("a parent is no pair of texts")
+        raise ValueError("a turn's parent must be a pair of strings")
     return TurnRef(ProgramId(program), TurnId(turn))
--- a/postspring/histories/retry_pace.py
+++ b/postspring/histories/retry_pace.py
@@ -1,4 +1,4 @@
-"""When what waits for the log is tried again, so that VMs share its rate."""
+"""Paces retries, so that all VMs share the log's rate."""
 
 from collections.abc import Callable
 import math
@@ -10,28 +10,28 @@
     "RetryPacer",
 ]
 
-# Retries are this much further apart than the rate says, by chance: so the
-# VMs don't stay in step, and all together stay below the rate.
+# Retries are spaced by up to this factor more than the rate requires, at
+# random: so VMs don't stay in step, and all together stay below the rate.
 MAX_JITTER_FACTOR = 1.2
-# Tries a second that a VM may make however many there are.
+# Retries a second that a VM may make, however many VMs there are.
 MIN_RATE = 0.1
 
 
 class RetryPacer:
-    """Deals out turns to try again.
+    """Allots slots for retries.
 
     Explanation
     ===========
 
-    Turns are dealt in the order in which they are asked for.  One that
-    wants a longer pause than the queue is long gets it, and does not hold
-    up those behind it.
+    Slots are allotted in the order of the requests. A request whose minimum
+    pause ends after its slot waits for that long, and does not delay the
+    requests behind it.
 
     Parameters
     ==========
 
     rate : callable
-        Returns how many tries a second this VM may make.
+        Returns how many retries a second this VM may make.
     """
 
     def __init__(
@@ -42,17 +42,17 @@
         self._next_slot_at = -math.inf
 
     def allot_pause(self, minimum: float) -> float:
-        """Return the seconds until a turn, no less than ``least``."""
+        """Return the seconds until a slot, no less than ``minimum``."""
         now = self._timers.now()
         slot = max(now, self._next_slot_at)
         self._next_slot_at = slot + self._interval()
         return max(minimum, slot - now)
 
     def restart(self) -> None:
-        """Deal anew from now on: the turns that were dealt don't count.
+        """Allot slots from now on, as if none had been allotted before.
 
-        What got through just now had the first one: 64 VMs that each had
-        another at once went beyond the rate in the first second.
+        The call that has just succeeded used the first slot: 64 VMs that each
+        made another call at once exceeded the rate in the first second.
         """
         self._next_slot_at = self._timers.now() + self._interval()
 
--- a/postspring/histories/shares.py
+++ b/postspring/histories/shares.py
@@ -1,4 +1,4 @@
-"""Shares: what one author's records of one turn add to an account."""
+"""Contributions: what one author's records of a turn add to an account."""
 
 import dataclasses
 import enum
@@ -15,12 +15,12 @@
 
 
 class TurnState(enum.Enum):
-    """What is known of a turn.
+    """State of a turn.
 
-    ``REFUSED`` turns did not fit the budget and never run; ``DEFERRED``
-    ones would fit but for what may come back, such as other VMs' reserves,
-    and never run either.  ``TAKEN`` ones have the id of a turn that may be
-    running.  ``ENDED`` ones ran or were given up, and are no part of the
+    ``REFUSED`` turns did not fit the budget and never run. ``DEFERRED`` turns
+    would fit if tokens were released, such as other VMs' reserves, and never
+    run either. The id of a ``TAKEN`` turn belongs to a turn that may be
+    running. ``ENDED`` turns ran or were withdrawn, and are not part of the
     history.
     """
 
@@ -33,15 +33,16 @@
 
 
 class Decision(NamedTuple):
-    """What a record comes to at its place in the log.
+    """Effect of a record at its offset in the log.
 
     Parameters
     ==========
 
     state : TurnState or None
-        Of an opening: the turn may run if it is ``OPEN``.
-    holds : bool
-        What the record reserves fits the budget: its author may use it.
+        For an opening: the turn may run if it is ``OPEN``.
+    reserve_fits : bool
+        Whether the tokens that the record reserves fit the budget: only then
+        may its author use them.
     """
 
     state: TurnState | None
@@ -59,13 +60,15 @@
 
 
 class Contribution:
-    """A set of records: neither order nor repetition matters.
+    """One author's records of one turn, as a set.
 
     Explanation
     ===========
 
-    An end stands in place of the openings, whichever comes first.  Two ends
-    add up: a turn that was given up here may have run at a home afterwards.
+    Neither the order of the records nor their repetition matters. A record of
+    the turn's end replaces the openings, whichever comes first. Two different
+    ends add up: a turn that was withdrawn here may have run on an offline
+    account afterwards.
     """
 
     __slots__ = ("author", "entries")
@@ -75,7 +78,7 @@
         self.entries: list[LedgerEntry] = []
 
     def find(self, entry: LedgerEntry) -> LedgerEntry | None:
-        """Return the entry of the same record."""
+        """Return the entry of the same record, if there is one."""
         for known in self.entries:
             if (
                 known.claim == entry.claim
@@ -101,7 +104,7 @@
 
     @property
     def may_run(self) -> bool:
-        """Whether the turn is open, and allowed to run by its place."""
+        """Whether the turn is open and all its openings may run."""
         return not self.is_settled and all(
             entry.decision is not None
             and entry.decision.state is TurnState.OPEN
@@ -110,19 +113,19 @@
 
     @property
     def settled(self) -> int:
-        """Tokens of the turn if it has ended."""
+        """Tokens of the turn if it has ended, else 0."""
         return sum(entry.tokens or 0 for entry in self.entries)
 
     @property
     def charged(self) -> int:
-        """Tokens of the turn, its ceiling while it may be running."""
+        """Tokens of the turn, or its ceiling while it may be running."""
         if self.is_settled:
             return self.settled
         return sum(entry.claim.ceiling for entry in self.entries)
 
     @property
     def reserve(self) -> int:
-        """What it adds to the author's reserve, or takes off."""
+        """Change of the author's reserve."""
         is_settled = self.is_settled
         total = 0
         for entry in self.entries:
--- a/postspring/histories/sizes.py
+++ b/postspring/histories/sizes.py
@@ -1,4 +1,4 @@
-"""How large records may be, and what of them is sent in one call."""
+"""Size limits of records and of append calls."""
 
 from collections.abc import Iterator
 from collections.abc import Sequence
@@ -11,25 +11,25 @@
     "first_batch_length",
 ]
 
-# Bytes that an entry takes beside its key and value.
+# Bytes that an entry takes besides its key and value.
 ENTRY_OVERHEAD_BYTES = 5
-# Bytes of a turn's record beside what went in and came out: ids of two turns,
-# the claim, names of a VM and an upstream.
+# Bytes of a turn's record besides its input and output: the ids of two turns,
+# the claim, the names of a VM and an upstream.
 TURN_OVERHEAD_BYTES = 2048
-# Of a record this much stays for what comes out of a turn, in bytes: answers
-# have some ten KB.
+# Bytes of a record that are kept free for a turn's output: answers have some
+# ten KB.
 OUTPUT_BYTES = 32 * 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sizes:
-    """What the log takes, in bytes.
+    """Size limits of the log, in bytes.
 
     Parameters
     ==========
 
     record, call : int
-        Most of one record; most of the records of one call together.
+        Largest record; largest total of the records in one call.
     """
 
     record: int = 256 * 1024
@@ -37,24 +37,24 @@
 
     @property
     def turn(self) -> int:
-        """Most that may go into a turn and come out of it."""
+        """Largest total of a turn's input and output."""
         return self.record - TURN_OVERHEAD_BYTES
 
     @property
     def input(self) -> int:
-        """Most that may go into a turn."""
+        """Largest input of a turn."""
         return self.turn - OUTPUT_BYTES
 
 
 def first_batch_length(
     entries: Sequence[keyedlog.LogEntry], max_bytes: int
 ) -> int:
-    """Return how many entries go into the first call; one at least.
+    """Return how many entries fit into the first call, at least one.
 
     Examples
     --------
     >>> entries = [keyedlog.LogEntry("k", b"v" * 94)] * 3
-    >>> first_batch(entries, 250), first_batch(entries, 50)
+    >>> first_batch_length(entries, 250), first_batch_length(entries, 50)
     (2, 1)
     """
     total = 0
--- a/postspring/histories/whole_turns.py
+++ b/postspring/histories/whole_turns.py
@@ -1,8 +1,8 @@
-"""Gets whole turns into the log, each with the chain that it rests on.
+"""Records whole turns in the log, each together with its ancestors.
 
-A turn whose record stands in the log can be gone on from by any VM, also
-after all have lost what they kept, only if the turns before it stand there as
-well.  So it counts as recorded when they do.
+Any VM can continue a turn from the log alone, even after all VMs have lost
+what they held, only if the turn's ancestors are in the log too. A turn
+therefore counts as recorded only when they are.
 """
 
 from collections.abc import Callable
@@ -28,17 +28,17 @@
 
 
 class TurnRecorder:
-    """Records whole turns: this VM's own, and copies of others'.
+    """Records whole turns: this VM's own, and replicas of other VMs' turns.
 
     Parameters
     ==========
 
     held : HeldTurns
-        Those whose records this VM does not have from the log.
+        Turns whose records this VM does not have from the log.
     known_turn : callable
         Returns a whole turn if this VM has it in memory.
-    lost : callable
-        Returns what reports that a turn never got into the log.
+    make_loss_reporter : callable
+        Returns the error handler that reports a turn as lost.
     """
 
     def __init__(
@@ -59,10 +59,11 @@
         on_folded: Callable[[fold_module.ProgramFold], None],
         on_recorded: Callable[[], None],
     ) -> None:
-        """Append a turn that ended here; report when its chain stands, too.
+        """Append a turn that ended here; report when its chain is recorded.
 
-        While the log is away the chain is left to those who have offered it:
-        all who keep a part would append it at once when the log is back.
+        While the log is unavailable, the ancestors are left to the VMs that
+        have submitted them: otherwise all VMs that hold one would append it at
+        once when the log is available again.
         """
         if not recording.is_unavailable(self._partitions, turn):
             self._append_now(self._unrecorded_ancestors(turn))
@@ -81,14 +82,16 @@
         timeout: float,
         on_done: Callable[[bool], None],
     ) -> None:
-        """Have a VM that reaches the log record a turn and its chain."""
+        """Have a VM that reaches the log record a turn and its ancestors."""
         turns = [*self._unrecorded_ancestors(turn), turn]
 
         def on_answer(is_recorded: bool) -> None:
             if is_recorded:
                 for item in turns:
                     self._held.note_recorded_elsewhere(_ref_of(item))
-                LOG.info("recorded by another VM", extra=_log_fields(turn))
+                LOG.info(
+                    "turn recorded by another VM", extra=_log_fields(turn)
+                )
             on_done(is_recorded)
 
         holders.record(
@@ -98,7 +101,7 @@
     def record_for_another(
         self, turns: list[records.WholeTurn], on_done: Callable[[], None]
     ) -> None:
-        """Append turns of a VM without the log; report when all stand."""
+        """Append turns of a VM without the log; report when all are there."""
         unrecorded = [turn for turn in turns if not self._is_recorded(turn)]
         for turn in unrecorded:
             self._held.add(turn)
@@ -108,12 +111,12 @@
     def append_replica(
         self, turn: records.WholeTurn, caller_wait: float
     ) -> None:
-        """Append a copy, unless the log has been offered it."""
+        """Append a replica, unless it was submitted to the log before."""
         if not self._held.mark_submitted(_ref_of(turn)):
             return
 
         def recorded() -> None:
-            LOG.info("copy recorded", extra=_log_fields(turn))
+            LOG.info("replica recorded", extra=_log_fields(turn))
 
         self._record(turn, lambda fold: None, recorded, caller_wait)
 
@@ -126,12 +129,12 @@
         on_recorded: Callable[[], None],
         caller_wait: float,
     ) -> None:
-        """Append a turn and its place."""
+        """Append a turn and its location."""
         ref = self._held.add(turn)
         self._held.mark_submitted(ref)
 
         def recorded() -> None:
-            # Without its place no other program finds it in the log.
+            # Without its location no other program finds it in the log.
             self._held.note_recorded(ref)
             on_recorded()
 
@@ -145,7 +148,7 @@
         )
 
     def _append_now(self, turns: Iterable[records.WholeTurn]) -> None:
-        """See to it that turns get into the log now."""
+        """Append turns, and retry now what is pending in their partitions."""
         for turn in turns:
             self.append_replica(turn, recording.CALLER_WAIT_SECONDS)
             recording.expedite_retry(self._partitions, turn)
@@ -153,7 +156,7 @@
     def _unrecorded_ancestors(
         self, turn: records.WholeTurn
     ) -> list[records.WholeTurn]:
-        """Return the turns before one that the log may lack, oldest first."""
+        """Return the ancestors that the log may lack, oldest first."""
         missing: list[records.WholeTurn] = []
         ref = turn.parent
         while ref is not None and self._held:
@@ -174,5 +177,5 @@
 
 
 def _log_fields(turn: records.WholeTurn) -> dict[str, str]:
-    """Return a turn's ids for a log line."""
+    """Return a turn's ids as fields of a log line."""
     return {"program": turn.program, "request": turn.turn}
