--- a/postspring/histories/accounts.py
+++ b/postspring/histories/accounts.py
@@ -182,9 +182,9 @@
             program.id, Origin.HOME
         )
         if budget is not None:
-            charged_elsewhere = program.charged + program.reserved
+            charged_in_log = program.charged + program.reserved
             used = self._unsettled_tokens(program.id, Origin.HOME)
-            left = min(left, budget - charged_elsewhere - used)
+            left = min(left, budget - charged_in_log - used)
         if offline_account.is_certain:
             return ceiling if left >= ceiling else 0
         if left < ceiling * MIN_CEILING_SHARE:
@@ -272,7 +272,7 @@
         ceiling: int,
         budget: int | None,
         charged: int,
-        charged_elsewhere: int,
+        offline_elsewhere: int,
         is_certain: bool,
     ) -> None:
         """Open an offline account while the log is unavailable.
@@ -286,13 +286,13 @@
         charged : int
             Tokens that records charge the program with, as far as any VM that
             was asked knows.
-        charged_elsewhere : int
+        offline_elsewhere : int
             Tokens of the program's offline accounts at other VMs.
         """
         if budget is not None:
-            left = budget - charged - charged_elsewhere
+            left = budget - charged - offline_elsewhere
             tokens = (
-                left if is_certain else min(left, ceiling - charged_elsewhere)
+                left if is_certain else min(left, ceiling - offline_elsewhere)
             )
             self.open_offline_account(program, tokens, is_certain)
 
--- a/postspring/histories/completion.py
+++ b/postspring/histories/completion.py
@@ -150,8 +150,8 @@
                 self._record, self._replicated, self._is_unavailable()
             )
 
-    def _replicated(self, copies: int) -> None:
-        if copies:
+    def _replicated(self, replica_count: int) -> None:
+        if replica_count:
             self._is_replicated = True
             self._wait_for_log()
         elif self._on_done is not None:
--- a/postspring/histories/copies.py
+++ b/postspring/histories/copies.py
@@ -8,11 +8,7 @@
 from postspring.histories import records
 from postspring.transport import timers as timers_module
 
-__all__ = [
-    "EndedTurnReplicas",
-    "ReplicaCheck",
-    "ReplicaStore",
-]
+__all__ = ["EndedTurnReplicas", "ReplicaCheck", "ReplicaStore"]
 
 # Delay until a VM looks for a replica in the log, in seconds. The author
 # appends its record as soon as the log answers; only if the author is gone, or
--- a/postspring/histories/handover.py
+++ b/postspring/histories/handover.py
@@ -14,10 +14,7 @@
 
 from postspring.histories import records
 
-__all__ = [
-    "CHECK_SECONDS",
-    "Handover",
-]
+__all__ = ["CHECK_SECONDS", "Handover"]
 
 LOG = logging.getLogger(__name__)
 
--- a/postspring/histories/journal.py
+++ b/postspring/histories/journal.py
@@ -113,8 +113,8 @@
     @property
     def unrecorded(self) -> int:
         """Number of turns and charges that could be lost with this VM."""
-        missing = len(list(self._held_by_ref.unrecorded))
-        return missing + len(self._settling) + len(self._ended_replicas)
+        turns = len(list(self._held_by_ref.unrecorded))
+        return turns + len(self._settling) + len(self._ended_replicas)
 
     @property
     def _unrecorded_records(
@@ -214,7 +214,7 @@
         )
         self.accounts.note_spent(ticket, tokens)
         # If this record is lost, an offline turn is not charged at all, and
-        # any other turn is charged with its ceiling.
+        # any other turn too much.
         self._settling[ref] = record
 
         def settled(fold: fold_module.ProgramFold) -> None:
@@ -306,8 +306,8 @@
             )
             place = partitions.place_of_program(record.program)
             is_urgent = is_log_away and self._partitions.is_fast(place)
-            names = {"program": record.program, "request": record.turn}
-            LOG.info("replica stored", extra=names | {"is_urgent": is_urgent})
+            fields = {"program": record.program, "request": record.turn}
+            LOG.info("replica stored", extra=fields | {"is_urgent": is_urgent})
             replica_check.start(is_urgent)
 
     def record_for_another(
@@ -347,7 +347,7 @@
     # -- own ------------------------------------------------------------------
 
     def _make_loss_reporter(self, item) -> openings.OnError:
-        """Return the error handler of a record that must not be lost."""
+        """Return the error handler that logs a record as lost."""
 
         def report(error: errors.HistoryError) -> None:
             ref = records.TurnRef(item.program, item.turn)
@@ -357,9 +357,9 @@
             is_lost = not is_whole or self._held_by_ref.is_unrecorded(ref)
             self._held_by_ref.note_lost(ref)
             self._settling.pop(ref, None)
-            where = {"program": item.program, "request": item.turn}
+            fields = {"program": item.program, "request": item.turn}
             if is_lost:
-                LOG.error("record lost", extra=where | {"reason": str(error)})
+                LOG.error("record lost", extra=fields | {"reason": str(error)})
 
         return report
 
--- a/postspring/histories/openings.py
+++ b/postspring/histories/openings.py
@@ -10,11 +10,7 @@
 from postspring.histories import records
 from postspring.histories import shares
 
-__all__ = [
-    "OnError",
-    "OnOpened",
-    "TurnOpener",
-]
+__all__ = ["OnError", "OnOpened", "TurnOpener"]
 
 OnError = Callable[[errors.HistoryError], None]
 OnOpened = Callable[[shares.TurnState, accounts.Ticket], None]
--- a/postspring/histories/program.py
+++ b/postspring/histories/program.py
@@ -79,6 +79,9 @@
     that a VM spends from it while it can't reach the log are charged already,
     even if the VM dies.
 
+    The upstream where a conversation ran last is a hint, and may differ
+    between VMs.
+
     Parameters
     ==========
 
@@ -89,12 +92,6 @@
     settled : int
         Tokens of settled turns; never decreases.
 
-    Explanation
-    ===========
-
-    The upstream where a conversation ran last is a hint, and may differ
-    between VMs.
-
     Examples
     ========
 
@@ -203,7 +200,7 @@
         """Return the decision on a folded record, which is taken once.
 
         A record that was read out of order is decided by all known records,
-        which are more than those before it.
+        which may be more than those before it.
         """
         contribution = self._contribution_of(record)
         entry = contribution.find(_entry(record))
--- a/postspring/histories/reachability.py
+++ b/postspring/histories/reachability.py
@@ -6,10 +6,7 @@
 from postspring import keyedlog
 from postspring.transport import timers as timers_module
 
-__all__ = [
-    "LogHealth",
-    "Reachability",
-]
+__all__ = ["LogHealth", "Reachability"]
 
 # Pause after a failed call, in seconds; doubled with each failure up to the
 # maximum. Every call is paid for, also one that fails.
@@ -93,7 +90,7 @@
     answer_count : int
         Answers of the log before the failure.
     was_down : bool
-        Whether the log reported that its last call failed.
+        Whether the log reported then that its last call failed.
     was_log_answering : bool
         Whether the log was known to answer when the call was made.
     has_log_answered : bool
@@ -163,9 +160,9 @@
 
     @property
     def can_expedite_retry(self) -> bool:
-        """Whether it failed and the log has answered since within its rate."""
-        is_back = self.has_failed and not self.is_unavailable
-        return is_back and not self._was_throttled
+        """Whether it failed, but the log answers and did not throttle it."""
+        has_recovered = self.has_failed and not self.is_unavailable
+        return has_recovered and not self._was_throttled
 
     @property
     def caller_retry_pause(self) -> float:
--- a/postspring/histories/retry_pace.py
+++ b/postspring/histories/retry_pace.py
@@ -6,9 +6,7 @@
 
 from postspring.transport import timers as timers_module
 
-__all__ = [
-    "RetryPacer",
-]
+__all__ = ["RetryPacer"]
 
 # Retries are spaced by up to this factor more than the rate requires, at
 # random: so VMs don't stay in step, and all together stay below the rate.
--- a/postspring/histories/shares.py
+++ b/postspring/histories/shares.py
@@ -6,12 +6,7 @@
 
 from postspring.histories import records
 
-__all__ = [
-    "Contribution",
-    "Decision",
-    "LedgerEntry",
-    "TurnState",
-]
+__all__ = ["Contribution", "Decision", "LedgerEntry", "TurnState"]
 
 
 class TurnState(enum.Enum):
--- a/postspring/histories/sizes.py
+++ b/postspring/histories/sizes.py
@@ -6,10 +6,7 @@
 
 from postspring import keyedlog
 
-__all__ = [
-    "Sizes",
-    "first_batch_length",
-]
+__all__ = ["Sizes", "first_batch_length"]
 
 # Bytes that an entry takes besides its key and value.
 ENTRY_OVERHEAD_BYTES = 5
--- a/postspring/histories/whole_turns.py
+++ b/postspring/histories/whole_turns.py
@@ -18,9 +18,7 @@
 from postspring.histories import recording
 from postspring.histories import records
 
-__all__ = [
-    "TurnRecorder",
-]
+__all__ = ["TurnRecorder"]
 
 LOG = logging.getLogger(__name__)
 
@@ -157,15 +155,15 @@
         self, turn: records.WholeTurn
     ) -> list[records.WholeTurn]:
         """Return the ancestors that the log may lack, oldest first."""
-        missing: list[records.WholeTurn] = []
+        ancestors: list[records.WholeTurn] = []
         ref = turn.parent
         while ref is not None and self._held:
             if self._held.is_unrecorded(ref):
-                missing.append(self._held[ref])
+                ancestors.append(self._held[ref])
             known = self._known_turn(ref)
             ref = None if known is None else known.parent
-        missing.reverse()
-        return missing
+        ancestors.reverse()
+        return ancestors
 
     def _is_recorded(self, turn: records.WholeTurn) -> bool:
         ref = _ref_of(turn)
