--- a/postspring/histories/tests/test_accounts.py
+++ b/postspring/histories/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""What a VM may spend of a program's budget without asking the log."""
+"""Tokens of a program's budget that a VM may spend without the log."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class AccountsCase(unittest.TestCase):
-    """One program of which a VM has reserved 30 tokens."""
+    """A program of whose budget a VM has reserved 30 tokens."""
 
     def setUp(self):
         self.accounts = histories.LocalAccounts("vm")
@@ -18,15 +18,17 @@
         self.program.end(histories.EndedTurn("p", "r", claim, 0))
         self.accounts.note_granted("p", 30, reserve_fits=True)
 
-    def take(self, turn, ceiling=10, budget=100, away=False):
-        """Ask for the right to run a turn."""
-        return self.accounts.admit(self.program, turn, ceiling, budget, away)
+    def take(self, turn, ceiling=10, budget=100, is_log_away=False):
+        """Request the right to run a turn."""
+        return self.accounts.admit(
+            self.program, turn, ceiling, budget, is_log_away
+        )
 
 
 class ReserveTest(AccountsCase):
-    """Turns from what was reserved in the log."""
+    """Turns that are charged to a reserve in the log."""
 
-    def test_turns_under_way_use_it_up(self):
+    def test_running_turns_use_the_reserve(self):
         origins = [self.take(turn).origin for turn in "abc"]
         self.assertEqual([RESERVE] * 3, origins)
         self.assertIsNone(self.take("d"))
@@ -36,86 +38,86 @@
         self.accounts.note_spent(ticket, 5)
         self.assertIsNotNone(self.take("b", ceiling=25))
 
-    def test_a_settled_turn_is_counted_by_the_log(self):
+    def test_a_settled_turn_reduces_the_reserve(self):
         ticket = self.take("a", ceiling=30)
         self.accounts.note_spent(ticket, 5)
         self.accounts.note_settled(ticket, 5)
         self.assertIsNone(self.take("b", ceiling=26))
         self.assertIsNotNone(self.take("c", ceiling=25))
 
-    def test_what_is_given_back_is_not_used(self):
+    def test_a_released_reserve_is_not_used(self):
         self.assertEqual(30, self.accounts.release_idle(self.program))
         self.assertIsNone(self.take("a"))
 
-    def test_what_turns_under_way_may_use_is_not_given_back(self):
+    def test_the_tokens_of_running_turns_are_not_released(self):
         self.take("a", ceiling=20)
         self.assertEqual(10, self.accounts.release_idle(self.program))
 
-    def test_what_did_not_fit_is_given_back_and_not_used(self):
+    def test_unfit_tokens_are_released_and_not_used(self):
         self.accounts.note_granted("p", 15, reserve_fits=False)
         self.assertIsNone(self.take("a", ceiling=31))
         self.assertEqual(45, self.accounts.release_idle(self.program))
         self.assertEqual(0, self.accounts.release_idle(self.program))
 
-    def test_what_only_others_name_is_not_used(self):
+    def test_tokens_charged_by_the_fold_alone_are_not_used(self):
         claim = histories.Claim("vm", 10, 100, granted=50)
         self.program.open(histories.OpenedTurn("p", "x", claim))
         self.assertIsNone(self.take("a", ceiling=31))
 
-    def test_what_is_not_charged_here_any_more_is_not_used(self):
-        # Others are told what this VM charges, and spend the rest at homes.
+    def test_tokens_no_longer_charged_here_are_not_used(self):
+        # This VM reports what it charges; other VMs spend the rest offline.
         self.program = histories.Program("p")
         self.assertIsNone(self.take("a"))
 
-    def test_a_bounded_number_of_programs_is_kept_in_mind(self):
+    def test_the_number_of_reserves_is_bounded(self):
         most = histories.accounts.MAX_RESERVES
         for number in range(most):
             self.accounts.note_granted(f"q{number}", 30, reserve_fits=True)
         self.assertIsNone(self.take("a"))
 
-    def test_no_budget_means_no_bound(self):
+    def test_without_a_budget_every_turn_may_run(self):
         self.assertIsNotNone(self.take("a", ceiling=10**6, budget=None))
 
 
-class HomeTest(AccountsCase):
-    """Programs that go on here while the log is away."""
+class OfflineAccountTest(AccountsCase):
+    """Programs that continue here while the log is unavailable."""
 
     def setUp(self):
         super().setUp()
         self.program = histories.Program("p")
 
-    def test_only_while_the_log_is_away(self):
+    def test_it_is_used_only_while_the_log_is_unavailable(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
         self.assertIsNone(self.take("a"))
-        self.assertIs(HOME, self.take("a", away=True).origin)
+        self.assertIs(HOME, self.take("a", is_log_away=True).origin)
 
-    def test_what_the_log_charges_counts(self):
+    def test_tokens_charged_in_the_log_are_subtracted(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
         self.program.charged = 95
-        self.assertIsNone(self.take("a", away=True))
+        self.assertIsNone(self.take("a", is_log_away=True))
 
-    def test_an_uncertain_home_limits_a_turn(self):
+    def test_an_uncertain_account_limits_a_turn(self):
         self.accounts.open_offline_account("p", 10, is_certain=False)
-        ticket = self.take("a", away=True)
+        ticket = self.take("a", is_log_away=True)
         self.accounts.note_spent(ticket, 4)
-        self.assertEqual(6, self.take("b", away=True).limit)
+        self.assertEqual(6, self.take("b", is_log_away=True).limit)
 
     def test_it_starts_no_turn_with_little_left(self):
         self.accounts.open_offline_account("p", 10, is_certain=False)
-        self.accounts.note_spent(self.take("a", away=True), 6)
-        self.assertIsNone(self.take("b", away=True))
+        self.accounts.note_spent(self.take("a", is_log_away=True), 6)
+        self.assertIsNone(self.take("b", is_log_away=True))
 
-    def test_others_are_told_of_its_tokens(self):
+    def test_its_tokens_include_unsettled_turns(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
-        ticket = self.take("a", away=True)
+        ticket = self.take("a", is_log_away=True)
         self.accounts.note_spent(ticket, 4)
         self.assertEqual(100, self.accounts.home_tokens("p"))
         self.accounts.note_settled(ticket, 4)
         self.assertEqual(96, self.accounts.home_tokens("p"))
 
-    def test_it_ends_when_all_is_recorded(self):
+    def test_it_is_closed_when_all_its_turns_are_settled(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
-        ticket = self.take("a", away=True)
+        ticket = self.take("a", is_log_away=True)
         self.accounts.close_offline_account("p")
         self.assertTrue(self.accounts.has_offline_account("p"))
         self.accounts.note_settled(ticket, 4)
@@ -123,8 +125,8 @@
         self.assertFalse(self.accounts.has_offline_account("p"))
 
 
-class ReservedInTheLogTest(unittest.TestCase):
-    """Reserves in the fold, by VMs that have read all before they append."""
+class FoldedReserveTest(unittest.TestCase):
+    """Reserves in the fold, of VMs that read all records before an append."""
 
     def setUp(self):
         self.fold = histories.ProgramFold()
@@ -137,7 +139,7 @@
         }
 
     def open(self, turn, author, budget=330, ceiling=10):
-        """Fold a record that opens a turn, settle it if it may not run."""
+        """Fold a record that opens a turn; withdraw it if it may not run."""
         ticket = histories.Ticket(
             "p", turn, ceiling, budget, histories.Origin.LOG
         )
@@ -157,14 +159,14 @@
         )
 
     def test_at_most_an_eighth_of_the_rest(self):
-        # Found on tallgrass scale-2: VMs that had died kept most of a
-        # budget reserved, and their programs were refused for good.
+        # Dead VMs kept most of a budget reserved, and their programs were
+        # refused for good.
         self.open("a", "one")
         self.assertEqual({"one": 40}, self.program.reserve_by_author)
         self.open("b", "two")
         self.assertEqual(33, self.program.reserve_by_author["two"])
 
-    def test_a_small_budget_is_not_reserved(self):
+    def test_nothing_is_reserved_of_a_small_budget(self):
         self.open("a", "one", budget=80)
         self.assertEqual(0, self.program.reserved)
 
@@ -172,26 +174,26 @@
         self.open("a", "one", budget=30)
         self.assertEqual(0, self.program.reserved)
 
-    def test_a_turn_from_it_makes_it_smaller(self):
+    def test_a_turn_from_the_reserve_reduces_it(self):
         self.open("a", "one")
         self.complete("b", "one", 7, from_reserve=True)
         self.assertEqual(33, self.program.reserve_by_author["one"])
         self.assertEqual(17, self.program.charged)
 
-    def test_a_record_that_stands_twice_makes_it_smaller_once(self):
+    def test_a_duplicate_record_reduces_the_reserve_once(self):
         self.open("a", "one")
         self.complete("b", "one", 7, from_reserve=True)
         self.complete("b", "one", 7, from_reserve=True)
         self.assertEqual(33, self.program.reserve_by_author["one"])
 
-    def test_what_others_reserved_defers_and_does_not_refuse(self):
+    def test_reserves_of_other_vms_defer_a_turn(self):
         self.open("a", "one")
         state = self.open("b", "two", ceiling=300)
         self.assertIs(histories.TurnState.DEFERRED, state)
         state = self.open("c", "two", ceiling=325)
         self.assertIs(histories.TurnState.REFUSED, state)
 
-    def test_the_budget_is_never_passed(self):
+    def test_the_budget_is_never_exceeded(self):
         for number in range(30):
             author = ("one", "two", "three")[number % 3]
             self.open(f"t{number}", author, ceiling=40)
--- a/postspring/histories/tests/test_budget_races.py
+++ b/postspring/histories/tests/test_budget_races.py
@@ -1,8 +1,7 @@
-"""Turns of one program at many VMs at once, on a log that fails.
+"""Concurrent turns of one program at many VMs, on a log with faults.
 
-What callers get stays within the budget whatever the log does, whoever
-restarts, and wherever it is compacted; and in the end all VMs that read the
-log charge the same.
+Whatever fails, restarts or is compacted, callers get no more tokens than the
+budget, and in the end all VMs that have read the log charge the same.
 """
 
 import unittest
@@ -37,30 +36,30 @@
 
 
 class Races:
-    """VMs that run turns of one program, and what callers got."""
+    """VMs that run turns of one program, and the tokens delivered."""
 
     def __init__(self, budget):
         self.budget = budget
         self.clock = clock_module.VirtualClock()
         self.data = memory_log.LogData()
-        self.handed = 0
+        self.delivered = 0
         self.vm_by_name = {name: self.start(name) for name in NAMES}
 
     def start(self, name):
-        """Start a VM that knows nothing."""
-        vm = test_journal.Vm(self.clock, self.data, name)
+        """Start a VM without any state."""
+        vm = test_journal.JournalVm(self.clock, self.data, name)
         vm.log.faults.gives_up_after = 1.0
         return vm
 
     def step(self, number, name, pause, tokens, seconds, is_whole, event):
-        """Let something happen, and a VM get a turn."""
+        """Apply an event, and have a VM run a turn."""
         self.clock.run_for(pause)
-        self._happen(number, name, event)
+        self._apply_event(number, name, event)
         vm = self.vm_by_name[name]
 
         def opened(state, ticket):
             if state is histories.TurnState.OPEN:
-                self.handed += tokens
+                self.delivered += tokens
                 self.clock.call_later(seconds, ended, ticket)
 
         def ended(ticket):
@@ -83,7 +82,7 @@
             lambda error: None,
         )
 
-    def _happen(self, number, name, event):
+    def _apply_event(self, number, name, event):
         faults = self.vm_by_name[name].log.faults
         faults.lose_answers = int(event == "lose")
         faults.late_appends = int(event == "late")
@@ -95,7 +94,7 @@
             self.data.expire(PLACE)
 
     def settle(self):
-        """Let all that is under way come to its end; read the log."""
+        """Let all turns end, and have all VMs read the log."""
         self.clock.run_for(20.0)
         for vm in self.vm_by_name.values():
             vm.log.faults.lose_answers = vm.log.faults.late_appends = 0
@@ -109,10 +108,9 @@
 
 
 class BudgetRaceTest(unittest.TestCase):
-    """Any steps of three VMs, which reserve more than they do elsewhere.
+    """Any steps of three VMs, which reserve more than in production.
 
-    With an eighth of the rest, hardly ever two reserves get in each other's
-    way.
+    With an eighth of the remaining budget, two reserves hardly ever conflict.
     """
 
     def setUp(self):
@@ -128,17 +126,17 @@
         for number, step in enumerate(steps):
             races.step(number, *step)
         races.settle()
-        self.assertLessEqual(races.handed, budget)
+        self.assertLessEqual(races.delivered, budget)
         charged = {vm.journal.charged("p") for vm in races.vm_by_name.values()}
         self.assertEqual(1, len(charged), charged)
-        self.assertGreaterEqual(min(charged), races.handed)
+        self.assertGreaterEqual(min(charged), races.delivered)
 
 
 class IdUsedTwiceTest(test_journal.JournalCase):
-    """A turn runs once, whatever its callers do with its id."""
+    """A turn runs once, however often callers use its id."""
 
     def states_of(self, *vms):
-        """Open one turn at some VMs at once; return the states."""
+        """Open one turn at some VMs concurrently; return the states."""
         states = []
         for vm in vms:
             vm.journal.open_turn(
@@ -153,12 +151,12 @@
         self.clock.run_for(1.0)
         return states
 
-    def test_at_one_vm_at_once(self):
-        # Both openings were one record, and both were told that it is open.
+    def test_at_one_vm_concurrently(self):
+        # Both openings are the same record; both used to be decided as open.
         states = self.states_of(self.one, self.one)
         self.assertEqual(1, states.count(histories.TurnState.OPEN))
 
-    def test_at_two_vms_at_once(self):
+    def test_at_two_vms_concurrently(self):
         states = self.states_of(self.one, self.two)
         self.assertEqual(1, states.count(histories.TurnState.OPEN))
 
@@ -170,10 +168,10 @@
         )
 
 
-class SpentTest(test_journal.JournalCase):
-    """Settled turns leave no room: nothing is appended to say so."""
+class SpentBudgetTest(test_journal.JournalCase):
+    """Settled turns leave no room, which takes no record to decide."""
 
-    def test_it_is_refused_without_a_record(self):
+    def test_a_turn_is_refused_without_a_record(self):
         self.one.open("a", ceiling=20)
         self.one.complete("a", tokens=20)
         before = len(self.one.log.calls)
--- a/postspring/histories/tests/test_claims.py
+++ b/postspring/histories/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""What this VM's records say, and what it makes of where they stand."""
+"""Claims in this VM's records, and the decisions on them."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class ClaimsTest(unittest.TestCase):
-    """One VM's records, and another VM that gets in between."""
+    """Records of one VM, with another VM's records in between."""
 
     def setUp(self):
         self.accounts = histories.LocalAccounts("vm")
@@ -20,7 +20,7 @@
             "p", "a", 10, BUDGET, histories.Origin.LOG
         )
 
-    def somebody_reserves(self, tokens):
+    def reserve_elsewhere(self, tokens):
         """Fold another VM's record that reserves tokens."""
         claim = histories.Claim("other", 0, BUDGET, granted=tokens)
         self.program.end(histories.EndedTurn("p", "o", claim, 0))
@@ -32,38 +32,38 @@
         return self.claims.note_opened(self.fold, record, self.ticket)
 
     def can_take(self, tokens):
-        """Return whether this VM's reserve holds so many."""
+        """Return whether this VM's reserve has so many tokens."""
         return self.accounts.can_admit(self.program, tokens, False)
 
     def settle(self, ticket, between=0):
-        """Fold the record of a turn's end behind another VM's."""
+        """Fold the record of a turn's end, behind another VM's record."""
         claim = self.claims.settlement_claim(self.program, ticket, 4)
         self.accounts.note_spent(ticket, 4)
         if between:
-            self.somebody_reserves(between)
+            self.reserve_elsewhere(between)
         record = histories.EndedTurn("p", ticket.turn, claim, 4)
         self.program.end(record)
         self.claims.note_settled(self.fold, record, ticket)
         return claim
 
-    def test_what_fits_may_be_used(self):
+    def test_a_reserve_that_fits_may_be_used(self):
         state, ticket = self.open()
         self.assertEqual((OPEN, 40), (state, ticket.granted))
         self.assertTrue(self.can_take(40))
         self.assertFalse(self.can_take(41))
 
-    def test_a_record_on_its_way_may_not_be_used(self):
+    def test_a_reserve_in_flight_may_not_be_used(self):
         self.claims.opening_record(self.program, self.ticket)
         self.assertFalse(self.can_take(1))
 
-    def test_two_records_on_their_way_ask_for_no_more_than_one(self):
+    def test_two_records_in_flight_reserve_no_more_than_one(self):
         self.claims.opening_record(self.program, self.ticket)
         second = self.claims.opening_record(self.program, self.ticket)
         self.assertEqual(0, second.claim.granted)
 
-    def test_a_reserve_of_the_opening_that_does_not_fit(self):
+    def test_an_unfit_reserve_of_the_opening_is_not_used(self):
         record = self.claims.opening_record(self.program, self.ticket)
-        self.somebody_reserves(300)
+        self.reserve_elsewhere(300)
         self.program.open(record)
         state, ticket = self.claims.note_opened(self.fold, record, self.ticket)
         self.assertEqual((OPEN, 0), (state, ticket.granted))
@@ -71,8 +71,8 @@
         self.settle(ticket)
         self.assertNotIn("vm", self.program.reserve_by_author)
 
-    def test_a_reserve_of_the_end_that_does_not_fit_is_given_back(self):
-        self.somebody_reserves(250)
+    def test_an_unfit_reserve_of_the_end_is_released(self):
+        self.reserve_elsewhere(250)
         state, ticket = self.open()
         self.assertEqual((OPEN, 0), (state, ticket.granted))
         self.program = self.fold.program("p")
@@ -84,7 +84,7 @@
         record = self.claims.opening_record(self.program, self.ticket)
         self.assertEqual(40, record.claim.returned)
 
-    def test_an_opening_that_does_not_run_gives_back_all_the_same(self):
+    def test_an_opening_that_does_not_run_releases_nevertheless(self):
         self.open()
         ticket = histories.Ticket("p", "b", 300, BUDGET, histories.Origin.LOG)
         record = self.claims.opening_record(self.program, ticket)
@@ -97,7 +97,7 @@
         )
         self.assertFalse(self.can_take(1))
 
-    def test_a_turn_from_the_reserve_makes_it_smaller(self):
+    def test_a_turn_from_the_reserve_reduces_it(self):
         self.open()
         ticket = self.accounts.admit(self.program, "b", 10, BUDGET, False)
         claim = self.settle(ticket)
--- a/postspring/histories/tests/test_compaction.py
+++ b/postspring/histories/tests/test_compaction.py
@@ -1,14 +1,12 @@
-"""The newest record of each key tells what all records tell.
-
-Seen: two VMs disagreed on a program for good; one answered 404 for a turn
-that the other continued, and they refused turns for different budgets.
-How: an opening that was sent again while the log was slow took effect
-behind its whole turn, and one of the VMs read the partition only after its
-history had expired.
-Cause: the records of a turn shared one key, so the late opening displaced
-the whole turn; and what VMs reserved was computed from the records before,
-which a compacted partition no longer has.
-Proof: the same records, folded whole and folded after a compaction.
+"""The newest record of each key folds to the same state as all records.
+
+These tests guard against two VMs that disagree on a program for good: one
+answered 404 for a turn that the other continued, and they refused turns for
+different budgets. While a turn's records shared one key, an opening that was
+sent again to a slow log took effect behind its whole turn and displaced it in
+the compaction; and reserves were computed from the preceding records, which a
+compacted partition no longer has. The tests fold the same records with and
+without a compaction.
 """
 
 import unittest
@@ -29,8 +27,8 @@
 
 FAULTS = ("none", "none", "lost answer", "late append")
 
-# One turn: who runs it, what it spends, whether it is whole, what goes wrong
-# with its opening and at its end, and how many others start before it ends.
+# One turn: its VM, its tokens, whether it is whole, the faults of its opening
+# and of its end, and how many other turns start before it ends.
 TURNS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(AUTHORS),
@@ -43,73 +41,73 @@
     min_size=1,
     max_size=8,
 )
-# Records that take effect once more: which one, and how many places later.
-COPIES = strategies.lists(
+# Records that take effect twice: which one, and how many places later.
+DUPLICATES = strategies.lists(
     strategies.tuples(strategies.integers(0, 40), strategies.integers(1, 8)),
     max_size=4,
 )
 
 
-class Site:
+class VmGroup:
     """Three VMs that run turns of one program on one log."""
 
     def __init__(self):
         self.clock = clock_module.VirtualClock()
         self.data = memory_log.LogData()
         self.vm_by_name = {
-            name: test_journal.Vm(self.clock, self.data, name)
+            name: test_journal.JournalVm(self.clock, self.data, name)
             for name in AUTHORS
         }
         for vm in self.vm_by_name.values():
             vm.log.faults.gives_up_after = 1.0
-        self._under_way = []
+        self._open_turns = []
 
     def run(self, turns):
-        """Run turns, some of them at the same time."""
+        """Run turns, some of them concurrently."""
         for number, turn in enumerate(turns):
             name, tokens, is_whole, at_start, at_end, overlap = turn
             vm = self.vm_by_name[name]
-            self._fail(vm, at_start)
+            self._set_fault(vm, at_start)
             if vm.open(f"t{number}", "p", CEILING, BUDGET) is OPEN:
                 ending = (vm, f"t{number}", tokens, is_whole, at_end)
-                self._under_way.append(ending)
-            while len(self._under_way) > overlap:
-                self._finish(*self._under_way.pop(0))
-        while self._under_way:
-            self._finish(*self._under_way.pop(0))
+                self._open_turns.append(ending)
+            while len(self._open_turns) > overlap:
+                self._finish(*self._open_turns.pop(0))
+        while self._open_turns:
+            self._finish(*self._open_turns.pop(0))
         self.clock.run_for(10.0)
 
     def records(self):
-        """Return what stands in the program's partition."""
+        """Return the records in the program's partition."""
         return list(self.data.records_by_place.get(PLACE, ()))
 
     def _finish(self, vm, turn, tokens, is_whole, fault):
-        self._fail(vm, fault)
+        self._set_fault(vm, fault)
         if is_whole:
             vm.complete(turn, tokens=tokens)
         else:
             vm.end(turn, tokens)
 
-    def _fail(self, vm, fault):
+    def _set_fault(self, vm, fault):
         vm.log.faults.lose_answers = int(fault == "lost answer")
         vm.log.faults.late_appends = int(fault == "late append")
 
 
-def with_copies(entries, copies):
-    """Return the records of a log where some took effect once more."""
+def with_duplicates(entries, duplicates):
+    """Return a log's records with some of them repeated later."""
     placed = [(index, 0, entry) for index, entry in enumerate(entries)]
-    for index, later in copies:
+    for index, distance in duplicates:
         if index < len(entries):
-            placed.append((index + later, 1, entries[index]))
+            placed.append((index + distance, 1, entries[index]))
     placed.sort(key=lambda item: item[:2])
     return [entry for place, order, entry in placed]
 
 
-def program_read(entries, expired=0):
-    """Return the program as a VM reads it, its first records compacted."""
+def read_program(entries, expired=0):
+    """Return the program as a VM reads it with its first records compacted."""
     clock = clock_module.VirtualClock()
     data = memory_log.LogData()
-    vm = test_journal.Vm(clock, data, "reader")
+    vm = test_journal.JournalVm(clock, data, "reader")
     if expired:
         data.append(PLACE, entries[:expired])
         data.expire(PLACE)
@@ -120,7 +118,7 @@
 
 
 def refresh(vm):
-    """Let a VM read the program's partition to its end."""
+    """Have a VM read the program's partition to its end."""
     vm.wait_for(
         lambda timeout, done, failed: vm.journal.refresh_program(
             "p", timeout, lambda: done("read"), failed
@@ -129,30 +127,30 @@
 
 
 class CompactionTest(unittest.TestCase):
-    """Any order that the log can have, and any point of compaction."""
+    """Any order of records that is possible, and any point of compaction."""
 
     @hypothesis.settings(max_examples=100, deadline=None, derandomize=True)
-    @hypothesis.given(TURNS, COPIES, strategies.data())
-    def test_it_changes_nothing(self, turns, copies, data):
-        site = Site()
-        site.run(turns)
-        entries = with_copies(site.records(), copies)
+    @hypothesis.given(TURNS, DUPLICATES, strategies.data())
+    def test_a_compaction_changes_nothing(self, turns, duplicates, data):
+        group = VmGroup()
+        group.run(turns)
+        entries = with_duplicates(group.records(), duplicates)
         point = data.draw(strategies.integers(0, len(entries)))
         for end in range(point, len(entries) + 1):
-            full = program_read(entries[:end])
-            newest = program_read(entries[:end], point)
+            full = read_program(entries[:end])
+            newest = read_program(entries[:end], point)
             self.assert_agree(full, newest)
 
     def assert_agree(self, full, newest):
-        """Check turns, charge and reserves."""
+        """Check that turns, charge and reserves are the same."""
         for turn in full.turn_by_id:
             self.assertEqual(full.whole_turn(turn), newest.whole_turn(turn))
         self.assertEqual(full.charged, newest.charged)
         self.assertEqual(full.reserve_by_author, newest.reserve_by_author)
 
 
-class LateOpeningTest(test_journal.JournalCase):
-    """An opening takes effect once more, behind its whole turn."""
+class DuplicateOpeningTest(test_journal.JournalCase):
+    """An opening takes effect once more behind its whole turn."""
 
     def setUp(self):
         super().setUp()
@@ -177,12 +175,12 @@
         self.assertEqual([4, 4], charged)
 
 
-class JudgedAfterCompactionTest(test_journal.JournalCase):
+class DecisionAfterCompactionTest(test_journal.JournalCase):
     """A VM finds its own opening only in a compacted partition."""
 
-    def test_the_order_of_what_is_left_lets_nothing_run(self):
-        # The first opening stands before the second one, and once more
-        # behind it; what is left has the second one first.
+    def test_the_order_of_the_remaining_records_lets_nothing_run(self):
+        # The first opening precedes the second one and is repeated behind it;
+        # of the records that remain, the second opening is the first.
         self.assertIs(OPEN, self.one.open("a", ceiling=20))
         first = self.data.records_by_place[PLACE][:1]
 
--- a/postspring/histories/tests/test_end_copies.py
+++ b/postspring/histories/tests/test_end_copies.py
@@ -1,7 +1,7 @@
-"""What turns used at a home survives the VM that ran them.
+"""The tokens of offline turns are charged even if their VM dies.
 
-Found by reading: a turn that keeps no history left its charge only in the
-memory of the VM where it ran while the log was away.
+These tests guard against a turn without a history whose charge exists only in
+the memory of the VM that ran it while the log was unavailable.
 """
 
 from postspring import histories
@@ -9,38 +9,38 @@
 from postspring.histories.tests import test_journal
 
 
-class Keeper(histories.ReplicaHolders):
-    """Gives copies to another VM's journal."""
+class Holder(histories.ReplicaHolders):
+    """Gives replicas to another VM's journal."""
 
     def __init__(self, journal):
         self.journal = journal
 
     def keep(self, record, on_done, is_log_away=False):
-        """Keep it there."""
+        """Have the other VM hold the replica."""
         self.journal.keep_copy(record)
         on_done(1)
 
 
-class EndCopiesTest(test_journal.JournalCase):
-    """One VM is a program's home, and dies; another has the copies."""
+class EndedTurnReplicasTest(test_journal.JournalCase):
+    """The VM with a program's offline account dies; another has replicas."""
 
     def setUp(self):
         super().setUp()
-        self.one.journal.replica_holders = Keeper(self.two.journal)
+        self.one.journal.replica_holders = Holder(self.two.journal)
         for vm in (self.one, self.two):
             vm.log.faults.down = True
         self.one.open("x")
         self.one.journal.accounts.begin_home("p", 10, 25, 0, 0, True)
 
     def spend_and_die(self):
-        """Let two turns use 20 of 25 tokens, and the VM be gone."""
+        """Let two turns use 20 of 25 tokens before the VM dies."""
         for turn in ("a", "b"):
             state = self.one.open(turn)
             self.assertIs(test_journal.OPEN, state)
             self.one.journal.end_turn(self.one.tickets[turn], 10)
         self.clock.run_for(1.0)
 
-    def test_the_charge_gets_into_the_log(self):
+    def test_the_charge_is_recorded(self):
         self.spend_and_die()
         self.two.log.faults.down = False
         self.clock.run_for(8.0)
@@ -56,18 +56,18 @@
         three.open("c", ceiling=1)
         self.assertEqual(20, three.journal._partitions.program("p").settled)
 
-    def test_a_vm_that_has_copies_does_not_stop(self):
+    def test_a_vm_with_replicas_has_unrecorded_charges(self):
         self.spend_and_die()
         self.assertEqual(2, self.two.journal.unrecorded)
         self.two.log.faults.down = False
         self.clock.run_for(8.0)
         self.assertEqual(0, self.two.journal.unrecorded)
 
-    def test_the_program_is_known_there(self):
+    def test_the_program_is_known_to_the_holder(self):
         self.spend_and_die()
         self.assertTrue(self.two.journal.knows("p"))
 
-    def test_a_record_of_an_opening_is_not_kept(self):
+    def test_a_record_of_an_opening_is_rejected(self):
         claim = histories.Claim("one", 8, 25)
         record = histories.OpenedTurn("p", "t", claim)
         with self.assertRaises(histories.MalformedRecord):
--- a/postspring/histories/tests/test_journal.py
+++ b/postspring/histories/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal over a log that fails, in virtual time."""
+"""The journal on a log with faults, in virtual time."""
 
 import unittest
 
@@ -12,8 +12,8 @@
 TIMEOUT = 1.0
 
 
-class Vm:
-    """One VM's journal, and what it heard."""
+class JournalVm:
+    """The journal of one VM, with the tickets of the turns that it opened."""
 
     def __init__(self, clock, data, name):
         process = clock_module.VirtualProcess(name)
@@ -24,11 +24,11 @@
         self.tickets = {}
 
     def wait_for(self, start, timeout=TIMEOUT):
-        """Start a call that takes two functions; return what came."""
-        heard = []
-        start(timeout, heard.append, heard.append)
-        self.clock.run_until(lambda: heard, 30)
-        return heard[0] if heard else None
+        """Start a call with two callbacks; return what either one gets."""
+        results = []
+        start(timeout, results.append, results.append)
+        self.clock.run_until(lambda: results, 30)
+        return results[0] if results else None
 
     def open(self, turn, program="p", ceiling=10, budget=25, timeout=1.0):
         """Open a turn; return its state or the error."""
@@ -44,19 +44,19 @@
                 failed,
             )
 
-        heard = self.wait_for(start, timeout)
-        if isinstance(heard, tuple):
-            self.tickets[turn] = heard[1]
-            return heard[0]
-        return heard
+        results = self.wait_for(start, timeout)
+        if isinstance(results, tuple):
+            self.tickets[turn] = results[1]
+            return results[0]
+        return results
 
     def complete(self, turn, parent=None, program="p", tokens=4):
-        """Complete a turn; return how it is kept."""
+        """Complete a turn; return where it is stored."""
         ticket = self.tickets.get(turn) or histories.Ticket(
             program, turn, 10, 25, histories.Origin.LOG
         )
         ref = parent and histories.TurnRef(*parent)
-        heard = []
+        results = []
         self.journal.complete_turn(
             ticket,
             ref,
@@ -64,18 +64,18 @@
             b"<" + turn.encode(),
             b">",
             f"engine-of-{turn}",
-            heard.append,
+            results.append,
         )
-        self.clock.run_until(lambda: heard, 30)
-        return heard[0] if heard else None
+        self.clock.run_until(lambda: results, 30)
+        return results[0] if results else None
 
     def end(self, turn, tokens):
-        """Settle a turn that is no part of the history."""
+        """Settle a turn that is not part of the history."""
         self.journal.end_turn(self.tickets[turn], tokens)
         self.clock.run_for(0.1)
 
     def chain(self, turn, program="p", timeout=TIMEOUT):
-        """Return a turn's history, None, or the error."""
+        """Return a turn's history, None or the error."""
         found = []
         self.journal.find_chain(
             program, turn, timeout, found.append, found.append
@@ -96,14 +96,14 @@
         self.two = self.vm("two")
 
     def vm(self, name):
-        """Start a VM that knows nothing."""
-        return Vm(self.clock, self.data, name)
+        """Start a VM without any state."""
+        return JournalVm(self.clock, self.data, name)
 
 
 class OpenTurnTest(JournalCase):
-    """A turn is reserved before it runs."""
+    """A turn's ceiling is charged before it runs."""
 
-    def test_one_call_while_nobody_else_writes(self):
+    def test_opening_takes_one_call_without_other_writers(self):
         self.assertIs(OPEN, self.one.open("a"))
         self.assertIs(OPEN, self.one.open("b"))
         self.assertEqual(["append", "append"], self.one.log.calls)
@@ -113,7 +113,7 @@
         self.two.open("b")
         self.assertIs(REFUSED, self.one.open("c"))
 
-    def test_turns_opened_at_once_do_not_pass_the_budget(self):
+    def test_concurrent_turns_do_not_exceed_the_budget(self):
         states = []
         for number in range(6):
             vm = (self.one, self.two)[number % 2]
@@ -130,23 +130,23 @@
         self.assertEqual(2, states.count(OPEN))
         self.assertEqual(4, states.count(REFUSED))
 
-    def test_a_lost_answer_is_made_up_for(self):
+    def test_an_append_without_an_answer_is_sent_again(self):
         self.one.log.faults.lose_answers = 1
         self.assertIs(OPEN, self.one.open("a"))
         self.assertIs(OPEN, self.two.open("b"))
         self.assertIs(REFUSED, self.two.open("c"))
 
-    def test_a_log_that_is_down_is_reported_in_time(self):
+    def test_an_unavailable_log_is_reported_in_time(self):
         self.one.log.faults.down = True
         error = self.one.open("a", timeout=0.5)
         self.assertIsInstance(error, histories.JournalUnavailable)
 
-    def test_a_log_that_is_silent_is_reported_in_time(self):
+    def test_a_silent_log_is_reported_in_time(self):
         self.one.log.faults.silent = True
         error = self.one.open("a", timeout=0.5)
         self.assertIsInstance(error, histories.JournalUnavailable)
 
-    def test_a_log_that_comes_back_is_used(self):
+    def test_a_recovered_log_is_used(self):
         self.one.log.faults.down = True
         self.clock.call_later(0.4, setattr, self.one.log.faults, "down", False)
         self.assertIs(OPEN, self.one.open("a", timeout=2.0))
@@ -158,7 +158,7 @@
         self.clock.run_for(10)
         self.assertIs(OPEN, self.two.open("b", ceiling=20))
 
-    def test_expired_records_are_read_as_the_newest_of_each_key(self):
+    def test_expired_partitions_are_read_by_their_newest_records(self):
         self.one.open("a")
         self.one.complete("a")
         for place in list(self.data.records_by_place):
@@ -168,7 +168,7 @@
 
 
 class ChainTest(JournalCase):
-    """A history is a tree, and any VM can put a chain together."""
+    """A history is a tree, and any VM can collect a chain of it."""
 
     def setUp(self):
         super().setUp()
@@ -176,7 +176,7 @@
         self.one.complete("b", ("p", "a"))
         self.one.complete("c", ("p", "a"))
 
-    def test_the_vm_that_answered_needs_no_call(self):
+    def test_the_author_needs_no_call(self):
         before = len(self.one.log.calls)
         self.assertEqual(b"<a><b>", self.one.chain("b"))
         self.assertEqual(before, len(self.one.log.calls))
@@ -184,7 +184,7 @@
     def test_another_vm_reads_it(self):
         self.assertEqual(b"<a><c>", self.two.chain("c"))
 
-    def test_another_program_may_go_on_from_it(self):
+    def test_another_program_may_continue_it(self):
         self.assertEqual(b"<a><b>", self.two.chain("b", program="q"))
 
     def test_a_chain_across_programs(self):
@@ -195,11 +195,11 @@
     def test_a_turn_that_does_not_exist(self):
         self.assertIsNone(self.two.chain("x"))
 
-    def test_an_open_turn_can_not_be_continued(self):
+    def test_an_open_turn_cannot_be_continued(self):
         self.one.open("o")
         self.assertIsNone(self.two.chain("o"))
 
-    def test_nobody_says_it_does_not_exist_while_the_log_is_down(self):
+    def test_no_turn_is_reported_missing_while_the_log_is_down(self):
         self.two.log.faults.down = True
         error = self.two.chain("b", timeout=0.5)
         self.assertIsInstance(error, histories.JournalUnavailable)
@@ -208,15 +208,15 @@
         self.one = self.two = None
         self.assertEqual(b"<a><b>", self.vm("new").chain("b"))
 
-    def test_a_partition_that_nobody_uses_is_read_again(self):
+    def test_an_idle_partition_is_read_again(self):
         self.clock.run_for(300)
         self.assertEqual(b"<a><b>", self.one.chain("b"))
 
 
-class HeldChainTest(JournalCase):
-    """Turns that other VMs keep while the log is away."""
+class ReplicaTest(JournalCase):
+    """Turns that other VMs hold while the log is unavailable."""
 
-    def copy_of(self, turn, parent=None):
+    def replica_of(self, turn, parent=None):
         """Return the record of a turn that is not in the log."""
         claim = histories.Claim("one", 10, 25)
         ref = parent and histories.TurnRef("p", parent)
@@ -226,73 +226,73 @@
             )
         )
 
-    def test_a_copy_is_known_at_once_and_recorded_later(self):
+    def test_a_replica_is_known_at_once_and_recorded_later(self):
         self.two.log.faults.down = True
-        self.two.journal.keep_copy(self.copy_of("a"))
+        self.two.journal.keep_copy(self.replica_of("a"))
         self.assertEqual(b"<a>", self.two.chain("a"))
         self.assertEqual(1, self.two.journal.held)
         self.two.log.faults.down = False
         self.clock.run_until(lambda: not self.two.journal.held, 10)
         self.assertEqual(b"<a>", self.one.chain("a"))
 
-    def test_a_copy_outlives_a_long_outage(self):
+    def test_a_replica_outlives_a_long_outage(self):
         self.two.log.faults.down = True
-        self.two.journal.keep_copy(self.copy_of("a"))
+        self.two.journal.keep_copy(self.replica_of("a"))
         self.clock.run_for(30.0)
         self.assertEqual(1, self.two.journal.held)
         self.two.log.faults.down = False
         self.clock.run_until(lambda: not self.two.journal.held, 10)
         self.assertEqual(b"<a>", self.one.chain("a"))
 
-    def test_a_copy_that_its_author_recorded_is_not_appended_again(self):
-        # Found on tallgrass-ops-grown scale-2: every VM that kept a copy
-        # appended it, five calls for each turn, and the store never again
-        # got below its rate.
-        record = self.copy_of("a")
+    def test_a_replica_that_its_author_recorded_is_not_appended(self):
+        # Every VM that held a replica used to append it: five calls for each
+        # turn, and the store's load stayed above its rate.
+        record = self.replica_of("a")
         for vm in (self.one, self.two):
             vm.journal.keep_copy(record)
             self.clock.run_until(lambda vm=vm: not vm.journal.held, 10)
         places = self.data.records_by_place
         self.assertEqual(2, sum(len(found) for found in places.values()))
 
-    def test_a_copy_without_what_precedes_it_is_not_said_to_be_none(self):
-        # Found on tallgrass trouble-3: the turn was known here, the one
-        # before it was still kept elsewhere; the answer was 404.
-        self.two.journal.keep_copy(self.copy_of("b", parent="a"))
+    def test_a_replica_without_its_parent_is_not_reported_missing(self):
+        # The turn was known here, but its parent was still held elsewhere
+        # only; the answer was 404.
+        self.two.journal.keep_copy(self.replica_of("b", parent="a"))
         error = self.two.chain("b", timeout=0.5)
         self.assertIsInstance(error, histories.JournalUnavailable)
 
-    def test_two_copies_are_recorded_once(self):
-        self.one.journal.keep_copy(self.copy_of("a"))
-        self.two.journal.keep_copy(self.copy_of("a"))
+    def test_two_replicas_are_recorded_once(self):
+        self.one.journal.keep_copy(self.replica_of("a"))
+        self.two.journal.keep_copy(self.replica_of("a"))
         self.clock.run_for(1)
         self.assertIs(OPEN, self.one.open("b", ceiling=21))
 
-    def test_what_is_no_whole_turn_is_refused(self):
+    def test_a_record_of_another_kind_is_rejected(self):
         location = histories.TurnLocation("a", "p")
         with self.assertRaises(histories.MalformedRecord):
             self.one.journal.keep_copy(histories.encode_record(location))
 
 
 class SharedPartitionTest(JournalCase):
-    """Programs that share a partition don't disturb each other."""
+    """Programs that share a partition don't affect each other."""
 
     def test_many_programs(self):
-        names = [f"p{number}" for number in range(60)]
-        for name in names:
+        programs = [f"p{number}" for number in range(60)]
+        for name in programs:
             self.one.open("a", program=name)
             self.two.complete("a", program=name)
         fresh = self.vm("fresh")
-        for name in names:
+        for name in programs:
             self.assertEqual(b"<a>", fresh.chain("a", name))
             self.assertIs(OPEN, fresh.open("b", program=name, budget=14))
 
 
 class LocationTest(JournalCase):
-    """Where turns stand is written, and read only when somebody asks."""
+    """Locations of turns are appended, and read only on request."""
 
-    def test_what_others_wrote_is_not_read(self):
-        # Each location used to cost a read of all that others had added.
+    def test_locations_of_other_vms_are_not_read(self):
+        # Appending a location used to read all those that other VMs had
+        # appended.
         reads = []
         read = self.two.log.read
 
@@ -308,7 +308,7 @@
             self.assertEqual("logged", vm.complete(f"t{number}"))
         self.assertEqual([], reads)
 
-    def test_it_is_found_all_the_same(self):
+    def test_a_location_is_found_nevertheless(self):
         for number in range(30):
             vm = (self.one, self.two)[number % 2]
             vm.open(f"t{number}", budget=1000)
@@ -316,17 +316,21 @@
         self.assertEqual(b"<t7>", self.two.chain("t7", program="other"))
 
 
-class BusyLogTest(JournalCase):
-    """The log gets more calls than it takes."""
+class ThrottledLogTest(JournalCase):
+    """The log gets more calls than its rate allows."""
 
-    def test_nothing_is_spent_besides_it(self):
-        # Found in hunts (BUDGET): see test_failover, test_a_busy_log_...
+    def test_no_offline_account_is_used(self):
+        # If a throttling log counted as unavailable, a program would spend
+        # from an offline account while other VMs charge turns in the log, and
+        # exceed its budget (see test_failover, test_a_busy_log_...).
         journal = self.one.journal
         self.one.open("a")
         self.one.complete("a")
         self.one.log.faults.busy = 1
-        heard = []
-        journal.open_turn("p", "b", 20, 25, 0.3, heard.append, heard.append)
+        results = []
+        journal.open_turn(
+            "p", "b", 20, 25, 0.3, results.append, results.append
+        )
         self.clock.run_for(0.1)
         journal.accounts.open_offline_account("p", 100, is_certain=True)
         ticket = journal.accounts.admit(
@@ -335,7 +339,7 @@
         self.assertIsNone(ticket)
 
     def is_unresponsive(self, program):
-        """Return whether the first VM takes the log to be away."""
+        """Return whether the first VM finds a partition unresponsive."""
         found = self.one.journal._partitions
         return found.is_unresponsive(
             histories.partitions.place_of_program(program)
--- a/postspring/histories/tests/test_lost_answers.py
+++ b/postspring/histories/tests/test_lost_answers.py
@@ -1,10 +1,10 @@
-"""Some answers of the log are lost while it takes other calls.
+"""Some answers of the log are lost while it answers other calls.
 
-Seen: simulated with a log that did not answer four in ten appends, a turn was
-not recorded for up to 1.2 s.  Cause: a partition whose last call had failed
-sent the next one once, whatever the log answered meanwhile; and the time of
-calls without an answer counted as what appends usually take, so one was sent
-again ever later.  Proof: the calls of each partition, traced.
+These tests guard against turns that are recorded only after up to 1.2 s by a
+log that leaves four in ten appends without an answer. A partition whose last
+call had failed sent the next one only once, although the log answered other
+calls; and the time of calls without an answer counted as the usual time of
+appends, so that one was resent later and later.
 """
 
 from postspring import histories
@@ -15,10 +15,10 @@
 
 
 class LostAnswersTest(test_journal.JournalCase):
-    """Some answers are lost while the log takes other calls."""
+    """Some answers are lost while the log answers other calls."""
 
-    def test_a_partition_that_failed_is_tried_as_often_as_another(self):
-        """Seen: one lost answer after a failure cost 1.2 s."""
+    def test_a_failed_partition_is_retried_as_often_as_others(self):
+        """One lost answer after a failure used to cost 1.2 s."""
         faults = self.one.log.faults
         faults.gives_up_after = 1.2
         place = histories.partitions.place_of_program("p")
@@ -31,7 +31,7 @@
         self.assertIs(test_journal.OPEN, self.one.open("b"))
         self.assertLess(self.clock.now - began, 0.7)
 
-    def test_what_is_usual_counts_the_call_that_was_answered(self):
+    def test_the_usual_time_is_that_of_the_answered_call(self):
         faults = self.one.log.faults
         for number in range(6):
             faults.lose_answers = 2
--- a/postspring/histories/tests/test_partitions.py
+++ b/postspring/histories/tests/test_partitions.py
@@ -1,4 +1,4 @@
-"""What many VMs that wait for the log send it together."""
+"""Load of the log by many VMs that catch up after an outage."""
 
 import logging
 import unittest
@@ -10,19 +10,19 @@
 
 VMS = 64
 WAITING = 40
-# Appends a second that the log takes, and the share for catching up.
-WRITES = 1500.0
-SHARE = 0.5
+# Appends a second that the log takes, and the share of it for catching up.
+APPEND_RATE = 1500.0
+CATCH_UP_SHARE = 0.5
 TIMEOUT_SECONDS = 120.0
 
 
 class CatchUpTest(unittest.TestCase):
-    """After an outage VMs catch up with half of the log's rate together.
+    """All VMs together catch up with half of the log's rate.
 
-    Found by reading: what waits was spread by the VM's share when the log
-    was back, but each partition came again by itself after a second at the
-    most, whatever the share says, and 64 VMs with many partitions went
-    beyond the whole rate.
+    These tests guard against 64 VMs that exceed the whole rate: pending
+    retries were spread by each VM's share when the log recovered, but each
+    partition also retried by itself after a second at most, whatever the
+    share.
     """
 
     def setUp(self):
@@ -35,7 +35,7 @@
         self.done = 0
 
     def start(self, waiting=WAITING):
-        """Let each VM append to many partitions of a log that is away."""
+        """Have each VM append to many partitions of an unavailable log."""
         for vm in range(VMS):
             process = clock_module.VirtualProcess(str(vm))
             timers = clock_module.VirtualTimers(self.clock, process)
@@ -43,7 +43,7 @@
             log.faults.down = True
             self.logs.append(log)
             partitions = partitions_module.Partitions(
-                log, timers, lambda: SHARE * WRITES / VMS
+                log, timers, lambda: CATCH_UP_SHARE * APPEND_RATE / VMS
             )
             for number in range(waiting):
                 place = keyedlog.LogPlace(
@@ -59,7 +59,7 @@
     def _count(self, fold):
         self.done += 1
 
-    def most_in_a_second(self, since):
+    def max_calls_in_a_second(self, since):
         """Return the most calls in any second since a time."""
         times = [when for when in self.called_at if when >= since]
         return max(
@@ -67,43 +67,48 @@
             for index, when in enumerate(times)
         )
 
-    def bring_back(self):
+    def restore_log(self):
         """Let the log answer again."""
         for log in self.logs:
             log.faults.down = False
 
-    def test_when_the_log_is_back(self):
+    def test_after_the_outage(self):
         self.start()
         self.clock.run_for(6.0)
-        self.bring_back()
-        back = self.clock.now
+        self.restore_log()
+        restored_at = self.clock.now
         self.clock.run_for(15.0)
         self.assertEqual(VMS * WAITING, self.done)
-        self.assertLessEqual(self.most_in_a_second(back), SHARE * WRITES)
+        self.assertLessEqual(
+            self.max_calls_in_a_second(restored_at),
+            CATCH_UP_SHARE * APPEND_RATE,
+        )
 
-    def test_while_it_is_away(self):
+    def test_during_the_outage(self):
         self.start()
         self.clock.run_for(3.0)
         began = self.clock.now
         self.clock.run_for(3.0)
-        self.assertLessEqual(self.most_in_a_second(began), SHARE * WRITES)
+        self.assertLessEqual(
+            self.max_calls_in_a_second(began), CATCH_UP_SHARE * APPEND_RATE
+        )
 
-    def test_a_vm_with_little_to_do_is_soon_done(self):
+    def test_a_vm_with_few_retries_is_done_soon(self):
         self.start(waiting=2)
         self.clock.run_for(6.0)
-        self.bring_back()
+        self.restore_log()
         self.clock.run_for(1.1)
         self.assertEqual(VMS * 2, self.done)
 
 
 class _CountedLog(memory_log.MemoryLog):
-    """Notes when it was called."""
+    """Records the times of its appends."""
 
     def __init__(self, data, timers, called_at):
         super().__init__(data, timers)
         self._called_at = called_at
 
     def append(self, place, entries, on_done, on_error) -> None:
-        """Note the time, and append."""
+        """Record the time, and append."""
         self._called_at.append(self._timers.now())
         super().append(place, entries, on_done, on_error)
--- a/postspring/histories/tests/test_program.py
+++ b/postspring/histories/tests/test_program.py
@@ -20,12 +20,12 @@
 
 
 def ended(turn, tokens):
-    """Return a record of a turn that ended."""
+    """Return the record of a turn that ended without a history."""
     return histories.EndedTurn("p", turn, CLAIM, tokens)
 
 
 class BudgetTest(unittest.TestCase):
-    """What a turn is charged with, and which one is refused."""
+    """What a turn is charged with, and when it is refused."""
 
     def setUp(self):
         self.program = histories.Program("p")
@@ -46,12 +46,12 @@
         self.program.complete(whole("a"))
         self.assertEqual(4, self.program.charged)
 
-    def test_tokens_of_a_broken_off_turn_stay_charged(self):
+    def test_tokens_of_a_cut_off_turn_stay_charged(self):
         self.program.open(opened("a"))
         self.program.end(ended("a", 8))
         self.assertEqual(8, self.program.charged)
 
-    def test_a_record_that_stands_twice_is_charged_once(self):
+    def test_a_duplicate_record_is_charged_once(self):
         self.program.open(opened("a"))
         self.program.open(opened("a"))
         self.assertEqual(10, self.program.charged)
@@ -67,44 +67,44 @@
         state = self.program.open(opened("a", ceiling=30))
         self.assertIs(histories.TurnState.REFUSED, state)
 
-    def test_no_budget_means_no_bound(self):
+    def test_without_a_budget_every_turn_may_run(self):
         state = self.program.open(opened("a", ceiling=10**9, budget=None))
         self.assertIs(histories.TurnState.OPEN, state)
 
 
 class SetOfRecordsTest(unittest.TestCase):
-    """Order and repetition change nothing; an author settles its own."""
+    """Order and repetition have no effect; authors settle their own turns."""
 
     def setUp(self):
         self.program = histories.Program("p")
 
-    def given_up(self, turn, author="vm", returned=0):
+    def withdrawn(self, turn, author="vm", returned=0):
         """Return a record that settles a turn that never ran."""
         claim = histories.Claim(author, 0, 25, returned=returned)
         return histories.EndedTurn("p", turn, claim, 0)
 
     def test_an_opening_that_does_not_fit_is_charged_until_settled(self):
-        # Its author may have read more, and have let it run.
+        # Its author may have read more records, and let the turn run.
         for turn in "abc":
             self.program.open(opened(turn))
         self.assertEqual(30, self.program.charged)
-        self.program.end(self.given_up("c"))
+        self.program.end(self.withdrawn("c"))
         self.assertEqual(20, self.program.charged)
 
-    def test_an_opening_that_was_given_up_changes_nothing_later(self):
+    def test_a_withdrawn_opening_has_no_effect_later(self):
         claim = histories.Claim("vm", 10, 25, granted=9, returned=3)
-        self.program.end(self.given_up("a", returned=3))
+        self.program.end(self.withdrawn("a", returned=3))
         self.program.open(histories.OpenedTurn("p", "a", claim))
         self.assertEqual(0, self.program.charged)
         self.assertEqual(0, self.program.reserved)
 
-    def test_a_turn_that_never_ran_does_not_settle_another_vms(self):
+    def test_a_withdrawal_does_not_settle_another_vms_turn(self):
         self.program.open(opened("a"))
-        self.program.end(self.given_up("a", author="other"))
+        self.program.end(self.withdrawn("a", author="other"))
         self.assertEqual(10, self.program.charged)
 
-    def test_a_turn_that_was_given_up_may_run_at_another_vm(self):
-        self.program.end(self.given_up("a", author="other"))
+    def test_a_withdrawn_turn_may_run_at_another_vm(self):
+        self.program.end(self.withdrawn("a", author="other"))
         self.assertIs(histories.TurnState.OPEN, self.program.open(opened("a")))
 
     def test_a_turn_that_another_vm_opened_does_not_run(self):
@@ -113,12 +113,12 @@
         state = self.program.open(histories.OpenedTurn("p", "a", claim))
         self.assertIs(histories.TurnState.TAKEN, state)
 
-    def test_a_turn_that_was_given_up_may_run_at_a_home_afterwards(self):
-        self.program.end(self.given_up("a"))
+    def test_a_withdrawn_turn_may_run_offline_afterwards(self):
+        self.program.end(self.withdrawn("a"))
         self.program.end(ended("a", 6))
         self.assertEqual(6, self.program.charged)
 
-    def test_the_end_names_what_the_opening_reserved(self):
+    def test_the_end_includes_the_reserve_of_the_opening(self):
         claim = histories.Claim("vm", 10, 400, granted=40)
         self.program.open(histories.OpenedTurn("p", "a", claim))
         self.assertEqual(40, self.program.reserved)
@@ -126,8 +126,8 @@
         self.program.end(histories.EndedTurn("p", "a", claim, 7))
         self.assertEqual(45, self.program.reserved)
 
-    def test_only_what_surely_stays_refuses(self):
-        # "b" does not fit beside "a"; its author has not said so yet.
+    def test_only_a_certain_charge_refuses_a_turn(self):
+        # "b" does not fit beside "a"; its author has not withdrawn it yet.
         self.program.open(opened("a", ceiling=10))
         self.program.open(opened("b", ceiling=20))
         state = self.program.open(opened("c", ceiling=12))
@@ -135,7 +135,7 @@
         state = self.program.open(opened("d", ceiling=16))
         self.assertIs(histories.TurnState.REFUSED, state)
 
-    def test_a_record_out_of_order_is_judged_by_all_that_is_known(self):
+    def test_a_record_out_of_order_is_decided_by_all_known_records(self):
         first, second = opened("a", 20), opened("b", 20)
         self.program.open(first, is_ordered=False)
         self.program.open(second, is_ordered=False)
@@ -143,7 +143,7 @@
         self.assertIs(deferred, self.program.decide(first).state)
         self.assertIs(deferred, self.program.decide(second).state)
 
-    def test_a_reserve_that_does_not_fit_is_not_held(self):
+    def test_a_reserve_that_does_not_fit_is_rejected(self):
         claim = histories.Claim("vm", 10, 25, granted=20)
         record = histories.OpenedTurn("p", "a", claim)
         self.assertIs(histories.TurnState.OPEN, self.program.open(record))
@@ -151,16 +151,16 @@
 
 
 class HistoryTest(unittest.TestCase):
-    """Which turns are a part of the history."""
+    """Which turns are part of the history."""
 
     def setUp(self):
         self.program = histories.Program("p")
 
-    def test_an_open_turn_is_no_part_of_the_history(self):
+    def test_an_open_turn_is_not_part_of_the_history(self):
         self.program.open(opened("a"))
         self.assertIsNone(self.program.whole_turn("a"))
 
-    def test_a_whole_turn_is(self):
+    def test_a_whole_turn_is_part_of_the_history(self):
         self.program.complete(whole("a"))
         self.assertEqual(b"o", self.program.whole_turn("a").output)
 
@@ -171,9 +171,9 @@
 
 
 class RecordTest(unittest.TestCase):
-    """Records come from outside: wrong ones are refused."""
+    """Records are external input: invalid ones are rejected."""
 
-    def test_each_kind_survives(self):
+    def test_each_kind_of_record_is_decoded(self):
         for record in (
             opened("a"),
             whole("a", ("q", "b")),
@@ -186,7 +186,7 @@
                 histories.encode_record(again), data, type(record)
             )
 
-    def test_only_the_same_record_has_the_same_key(self):
+    def test_only_identical_records_share_a_key(self):
         found = [
             histories.record_key(record, histories.encode_record(record))
             for record in (
@@ -200,7 +200,7 @@
         again = histories.encode_record(opened("a"))
         self.assertEqual(found[0], histories.record_key(opened("a"), again))
 
-    def test_counts_below_nothing_are_refused(self):
+    def test_invalid_counts_are_rejected(self):
         for claim in (
             CLAIM._replace(granted=-1),
             CLAIM._replace(returned=-1),
@@ -214,18 +214,18 @@
         with self.assertRaises(histories.MalformedRecord):
             histories.decode_record(histories.encode_record(ended("a", -1)))
 
-    def test_a_malformed_record_is_skipped_with_a_line(self):
+    def test_a_malformed_record_is_skipped_and_logged(self):
         fold = histories.ProgramFold()
         with self.assertLogs("postspring.histories.fold", "WARNING"):
             fold.apply(b"\x81\x63abc")
         self.assertEqual({}, fold.program_by_id)
 
-    def test_wrong_bytes_are_refused(self):
+    def test_malformed_bytes_are_rejected(self):
         for data in (b"", b"\xff", b"\x81\x63abc", b"\x80", b"\x01"):
             with self.assertRaises(histories.MalformedRecord):
                 histories.decode_record(data)
 
-    def test_fields_of_the_wrong_type_are_refused(self):
+    def test_fields_of_the_wrong_type_are_rejected(self):
         record = ended("a", "many")
         with self.assertRaises(histories.MalformedRecord):
             histories.decode_record(histories.encode_record(record))
--- a/postspring/histories/tests/test_slow_log.py
+++ b/postspring/histories/tests/test_slow_log.py
@@ -1,10 +1,10 @@
-"""A log that syncs to a disk: each answer takes its time, none is lost.
+"""A log that syncs to a disk: every answer is slow, none is lost.
 
-By reading and measured on loopback: with appends of 0.15 to 0.3 s all of 120
-turns ended by copies of other VMs, and each append was made twice.  A turn
-that stands nowhere but in VMs' memories is lost if all lose power; with such
-a store that was every turn of the last moments, and afterwards it reaches no
-upstream.
+These tests guard against turns that only VMs hold although the log works: with
+appends of 0.15 to 0.3 s, all of 120 turns (on loopback) ended by replicas at
+other VMs, and each append was made twice. When all VMs lose power, turns that
+no log has are lost, and with such a store those were all turns of the last
+moments.
 """
 
 from postspring import histories
@@ -13,19 +13,19 @@
 SLOW_SECONDS = 0.25
 # Callers accept a pause of this many seconds between events.
 PAUSE_SECONDS = 0.4
-# Callers leave a stream from which nothing has come for this many seconds.
-SILENCE_SECONDS = 2.0
+# Callers leave a stream that is silent for this many seconds.
+MAX_SILENCE_SECONDS = 2.0
 
 
 class Holders(histories.ReplicaHolders):
-    """Other VMs, which keep what they are given at once."""
+    """Other VMs, which hold every replica at once."""
 
     def __init__(self):
-        self.kept = 0
+        self.replica_count = 0
 
     def keep(self, record, on_done, is_log_away=False):
-        """Count it."""
-        self.kept += 1
+        """Count the replica."""
+        self.replica_count += 1
         on_done(2)
 
 
@@ -41,99 +41,100 @@
         self.faults.latency = SLOW_SECONDS
 
     def take_down(self):
-        """Let calls fail, without delay."""
+        """Let calls fail without delay."""
         self.faults.down = True
         self.faults.latency = 0.004
 
     def complete(self, turn="a"):
-        """Complete a turn; return how it is kept, and after how long."""
+        """Complete a turn; return where it is stored, and after how long."""
         began = self.clock.now
-        how = self.one.complete(turn)
-        return how, self.clock.now - began
+        storage = self.one.complete(turn)
+        return storage, self.clock.now - began
 
 
 class SlowLogTest(SlowLogCase):
-    """Where a turn stands when its caller has it whole."""
+    """Where a turn is stored when its caller has the whole answer."""
 
     def test_a_turn_waits_for_a_slow_log(self):
-        how, seconds = self.complete()
-        self.assertEqual("logged", how)
+        storage, seconds = self.complete()
+        self.assertEqual("logged", storage)
         self.assertLess(seconds, PAUSE_SECONDS)
-        self.assertEqual(0, self.holders.kept)
+        self.assertEqual(0, self.holders.replica_count)
 
-    def test_a_turn_waits_for_one_that_is_slower_than_a_pause(self):
+    def test_a_turn_waits_for_a_log_slower_than_a_pause(self):
         self.faults.latency = 0.8
-        how, seconds = self.complete()
-        self.assertEqual("logged", how)
-        self.assertLess(seconds, SILENCE_SECONDS)
+        storage, seconds = self.complete()
+        self.assertEqual("logged", storage)
+        self.assertLess(seconds, MAX_SILENCE_SECONDS)
 
-    def test_not_for_one_that_fails(self):
+    def test_a_turn_does_not_wait_for_a_failing_log(self):
         self.take_down()
-        how, seconds = self.complete()
-        self.assertEqual("held", how)
+        storage, seconds = self.complete()
+        self.assertEqual("held", storage)
         self.assertLess(seconds, 0.15)
 
-    def test_not_for_one_that_is_known_to_fail(self):
+    def test_a_turn_does_not_wait_for_an_unavailable_log(self):
         self.take_down()
         self.complete("a")
         self.clock.run_for(1.0)
-        how, seconds = self.complete("b")
-        self.assertEqual("held", how)
+        storage, seconds = self.complete("b")
+        self.assertEqual("held", storage)
         self.assertLess(seconds, 0.02)
 
-    def test_a_silent_one_is_waited_for_while_the_caller_stays(self):
-        """The end is no event: an accepted pause is not its bound."""
+    def test_a_turn_waits_for_a_silent_log_while_the_caller_stays(self):
+        """The end of an answer is no event: the pause limit doesn't apply."""
         self.faults.silent = True
-        how, seconds = self.complete()
-        self.assertEqual("held", how)
-        self.assertLess(seconds, SILENCE_SECONDS)
+        storage, seconds = self.complete()
+        self.assertEqual("held", storage)
+        self.assertLess(seconds, MAX_SILENCE_SECONDS)
 
 
-class DeadlineTest(SlowLogCase):
-    """The caller's deadline comes while the log is waited for.
+class CallerDeadlineTest(SlowLogCase):
+    """The caller's deadline comes while a turn waits for the log.
 
-    By reading: since a slow log is waited for, a turn that others had kept
-    for long was told as kept nowhere, and its whole answer was broken off.
+    These tests guard against a turn that other VMs have held for long, but
+    that is reported as stored nowhere, so that its whole answer is cut off.
     """
 
     def complete_by(self, seconds):
-        """Complete a turn in so many seconds; return how it is kept."""
+        """Complete a turn with a deadline; return where it is stored."""
         ticket = histories.Ticket("p", "a", 10, 25, histories.Origin.LOG)
-        heard = []
+        results = []
         self.journal.complete_turn(
-            ticket, None, 4, b"<a", b">", "e", heard.append, seconds
+            ticket, None, 4, b"<a", b">", "e", results.append, seconds
         )
         self.clock.run_for(seconds + 0.1)
-        return heard
+        return results
 
-    def test_what_others_keep_is_held(self):
+    def test_a_replicated_turn_is_held(self):
         self.faults.latency = 1.0
         self.assertEqual(["held"], self.complete_by(0.6))
 
-    def test_what_nobody_keeps_is_not(self):
+    def test_a_turn_without_replicas_is_not_held(self):
         self.faults.latency = 1.0
         self.journal.replica_holders = histories.NoReplicaHolders()
         self.assertEqual(["nowhere"], self.complete_by(0.6))
 
 
 class LoadTest(SlowLogCase):
-    """What a slow log is asked to do."""
+    """The number of calls to a slow log."""
 
     def appends(self, turns):
-        """Return the calls that some turns make."""
+        """Return the number of calls that some turns make."""
         before = len(self.one.log.calls)
         for number in range(turns):
             self.complete(f"t{before}-{number}")
             self.clock.run_for(1.0)
         return len(self.one.log.calls) - before
 
-    def test_what_is_on_its_way_is_not_sent_again(self):
-        # How slow it is has to be seen, and what was sent twice to be read.
+    def test_an_append_in_flight_is_not_sent_again(self):
+        # The first turns show how slow the log is, and what was sent twice is
+        # read.
         self.appends(2)
-        # A turn has a record and a place.
+        # Each turn has a record and a location.
         self.assertEqual(20, self.appends(10))
 
-    def test_it_is_not_away_while_it_takes_what_it_always_takes(self):
+    def test_it_is_responsive_while_appends_take_their_usual_time(self):
         self.faults.latency = 0.5
         self.appends(5)
         state = self.one.open("u", program="p", ceiling=900, budget=1000)
@@ -147,11 +148,11 @@
         self.clock.run_for(2.0)
         self.assertTrue(self.one.journal._partitions.is_unresponsive(place))
 
-    def test_a_lost_answer_is_made_up_for_soon_when_it_is_fast_again(self):
+    def test_a_lost_answer_is_soon_resent_when_the_log_is_fast_again(self):
         self.appends(2)
         self.faults.latency = 0.004
         self.appends(10)
         self.faults.lose_answers = 1
-        how, seconds = self.complete("z")
-        self.assertEqual("logged", how)
+        storage, seconds = self.complete("z")
+        self.assertEqual("logged", storage)
         self.assertLess(seconds, 0.2)
