--- a/postspring/histories/chains.py
+++ b/postspring/histories/chains.py
@@ -35,7 +35,7 @@
     Parameters
     ----------
     find : callable
-        Returns a whole turn, or None if it is unknown.
+        Returns a completed turn, or None if it is unknown.
     """
     parts: list[bytes] = []
     upstream = ""
--- a/postspring/histories/completion.py
+++ b/postspring/histories/completion.py
@@ -1,4 +1,4 @@
-"""Waits until a whole turn is in the log or held by other VMs."""
+"""Waits until a completed turn is in the log or held by other VMs."""
 
 from collections.abc import Callable
 
@@ -68,7 +68,7 @@
     ==========
 
     record : bytes
-        The record of the whole turn.
+        The record of the completed turn.
     is_unavailable : callable
         Returns whether the log is known to be unavailable.
     timeout : float
--- a/postspring/histories/copies.py
+++ b/postspring/histories/copies.py
@@ -38,7 +38,7 @@
         """Find the program among whose records a turn is stored."""
 
     def is_logged(self, ref: records.TurnRef) -> bool:
-        """Return whether a whole turn is known to be in the log."""
+        """Return whether a completed turn is known to be in the log."""
 
     def append_replica(self, record: records.WholeTurn) -> None:
         """Append a replica that the log lacks."""
--- a/postspring/histories/fold.py
+++ b/postspring/histories/fold.py
@@ -68,7 +68,7 @@
 
 
 class LocationFold:
-    """Programs of whole turns, for callers that know only a turn's id."""
+    """Programs of completed turns, for callers that know only a turn's id."""
 
     def __init__(self):
         self.program_by_turn: dict[records.TurnId, records.ProgramId] = {}
--- a/postspring/histories/handover.py
+++ b/postspring/histories/handover.py
@@ -1,10 +1,10 @@
 """Hands over the records that the log lacks when a VM stops.
 
-Every turn that a caller received whole, and every record that VMs were asked
-to hold, is in the log, or on this VM, or on two VMs that are not stopping (on
-one, if no two answer). A stopping VM still waits for the log; it may be
-killed, and exits when its grace period is over. When all VMs stop while the
-log is unavailable, no VM takes records, and those that only they hold are
+Every turn whose complete answer a caller has, and every record that VMs were
+asked to hold, is in the log, or on this VM, or on two VMs that are not
+stopping (on one, if no two answer). A stopping VM still waits for the log; it
+may be killed, and exits when its grace period is over. When all VMs stop while
+the log is unavailable, no VM takes records, and those that only they hold are
 lost; the log line "stopped" says how many.
 """
 
--- a/postspring/histories/held.py
+++ b/postspring/histories/held.py
@@ -1,4 +1,4 @@
-"""Whole turns that the log may lack, as far as this VM knows."""
+"""Completed turns that the log may lack, as far as this VM knows."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
--- a/postspring/histories/journal.py
+++ b/postspring/histories/journal.py
@@ -4,7 +4,7 @@
 are, and the records before an opening decide whether its turn may run, so no
 VM owns a program and none has to be found or replaced. While the log is
 unavailable, turns run on tokens that were reserved in it before, and other VMs
-hold replicas of whole turns until they are recorded.
+hold replicas of completed turns until they are recorded.
 """
 
 from collections.abc import Callable
@@ -107,7 +107,7 @@
 
     @property
     def held(self) -> int:
-        """Number of whole turns whose records this VM lacks from the log."""
+        """Number of completed turns whose records this VM lacks."""
         return len(self._held_by_ref)
 
     @property
@@ -240,7 +240,7 @@
         on_done: Callable[[str], None],
         timeout: float = completion.DEFAULT_TIMEOUT_SECONDS,
     ) -> Callable[[], None]:
-        """Add a whole turn to the history, and record its location.
+        """Add a completed turn to the history, and record its location.
 
         ``on_done`` is called once with where the turn is stored: ``logged``;
         or ``held`` by other VMs until the log is available again; or, after
@@ -259,7 +259,7 @@
         )
         self._opener.note_stopped(records.TurnRef(ticket.program, ticket.turn))
         self.accounts.note_spent(ticket, tokens)
-        durability = completion.DurabilityWait(
+        durability_wait = completion.DurabilityWait(
             self._timers,
             self.replica_holders,
             records.encode_record(record),
@@ -273,10 +273,10 @@
         self._recorder.record_with_chain(
             record,
             lambda fold: self._claim_writer.note_settled(fold, record, ticket),
-            durability.logged,
+            durability_wait.logged,
         )
-        durability.start(on_done)
-        return durability.finish_now
+        durability_wait.start(on_done)
+        return durability_wait.finish_now
 
     def keep_copy(self, data: bytes, is_log_away: bool = False) -> None:
         """Hold a replica of another VM's record, and get it into the log.
@@ -295,7 +295,7 @@
         if isinstance(record, records.EndedTurn):
             self._ended_replicas.add(record)
             return
-        _check_is_whole(record)
+        _check_is_completed(record)
         ref = records.TurnRef(record.program, record.turn)
         is_held = ref in self._held_by_ref
         if not is_held and not self._partitions.is_recorded(ref):
@@ -307,24 +307,24 @@
             place = partitions.place_of_program(record.program)
             is_urgent = is_log_away and self._partitions.is_fast(place)
             fields = {"program": record.program, "request": record.turn}
-            LOG.info("replica stored", extra=fields | {"is_urgent": is_urgent})
+            LOG.info("copy kept", extra=fields | {"is_urgent": is_urgent})
             replica_check.start(is_urgent)
 
     def record_for_another(
         self, turns: list[bytes], on_done: Callable[[], None]
     ) -> None:
-        """Append whole turns of a VM without the log, and their locations.
+        """Append completed turns, with locations, for a VM without the log.
 
         ``on_done`` is called once all of them are recorded.
 
         Raises
         ------
         MalformedRecord
-            If one is not the record of a whole turn.
+            If one is not the record of a completed turn.
         """
         decoded = [records.decode_record(data) for data in turns]
         for record in decoded:
-            _check_is_whole(record)
+            _check_is_completed(record)
         self._recorder.record_for_another(decoded, on_done)
 
     def drop_replica(self, ref: records.TurnRef) -> None:
@@ -351,10 +351,10 @@
 
         def report(error: errors.HistoryError) -> None:
             ref = records.TurnRef(item.program, item.turn)
-            is_whole = isinstance(item, records.WholeTurn)
+            is_completed = isinstance(item, records.WholeTurn)
             # A turn that another VM has recorded is not lost, and a loss is
             # logged once.
-            is_lost = not is_whole or self._held_by_ref.is_unrecorded(ref)
+            is_lost = not is_completed or self._held_by_ref.is_unrecorded(ref)
             self._held_by_ref.note_lost(ref)
             self._settling.pop(ref, None)
             fields = {"program": item.program, "request": item.turn}
@@ -386,6 +386,6 @@
         return self._claim_writer.settlement_claim(known, ticket, tokens)
 
 
-def _check_is_whole(record: records.Record) -> None:
+def _check_is_completed(record: records.Record) -> None:
     if not isinstance(record, records.WholeTurn):
-        raise errors.MalformedRecord("not the record of a whole turn")
+        raise errors.MalformedRecord("not the record of a completed turn")
--- a/postspring/histories/partitions.py
+++ b/postspring/histories/partitions.py
@@ -152,7 +152,8 @@
             for partition in self._by_place.values()
             if partition.is_waiting
         ]
-        # Until then only VMs hold turns whose callers have the whole answer.
+        # Until then only VMs hold turns whose callers have the complete
+        # answer.
         waiting.sort(key=lambda partition: not partition.had_waiting_caller)
         self._retry_pacer.restart()
         pauses = [self._retry_pacer.allot_pause(0.0) for partition in waiting]
--- a/postspring/histories/ports.py
+++ b/postspring/histories/ports.py
@@ -31,7 +31,7 @@
         timeout: float,
         on_done: Callable[[bool], None],
     ) -> None:
-        """Have a VM that reaches the log record whole turns.
+        """Have a VM that reaches the log record completed turns.
 
         Unless it is overridden, no VM records them.
 
--- a/postspring/histories/program.py
+++ b/postspring/histories/program.py
@@ -35,7 +35,7 @@
 
     @classmethod
     def from_record(cls, record: records.WholeTurn) -> "Turn":
-        """Return the turn that a record of a whole turn describes."""
+        """Return the turn that a record of a completed turn describes."""
         return cls(
             shares.TurnState.WHOLE,
             record.parent,
@@ -46,7 +46,7 @@
 
     @property
     def rank(self) -> tuple:
-        """Precedence among two versions: whole, then ended, then open.
+        """Precedence among two versions: completed, then ended, then open.
 
         The other fields only make the choice the same on all VMs.
         """
@@ -154,7 +154,7 @@
     def complete(
         self, record: records.WholeTurn, is_ordered: bool = True
     ) -> None:
-        """Fold the record of a whole turn."""
+        """Fold the record of a completed turn."""
         self._merge_turn(record.turn, Turn.from_record(record))
         self._add_record(record, is_ordered)
 
@@ -190,7 +190,7 @@
         return found or ""
 
     def whole_turn(self, turn: records.TurnId) -> Turn | None:
-        """Return a turn of the history, or None if the turn is not whole."""
+        """Return a turn of the history, or None if it is not completed."""
         found = self.turn_by_id.get(turn)
         if found is not None and found.state is shares.TurnState.WHOLE:
             return found
@@ -348,5 +348,5 @@
 def _entry(record) -> shares.LedgerEntry:
     if isinstance(record, records.OpenedTurn):
         return shares.LedgerEntry(record.claim)
-    is_whole = isinstance(record, records.WholeTurn)
-    return shares.LedgerEntry(record.claim, record.tokens, is_whole)
+    is_completed = isinstance(record, records.WholeTurn)
+    return shares.LedgerEntry(record.claim, record.tokens, is_completed)
--- a/postspring/histories/reading.py
+++ b/postspring/histories/reading.py
@@ -115,15 +115,15 @@
         return ref
 
     def known_turn(self, ref: records.TurnRef) -> program_module.Turn | None:
-        """Return a whole turn if this VM has it in memory."""
-        whole = self._partitions.whole_turn(ref)
+        """Return a completed turn if this VM has it in memory."""
+        turn = self._partitions.whole_turn(ref)
         held = self._held_by_ref.get(ref)
-        if whole is None and held is not None:
-            whole = program_module.Turn.from_record(held)
-        return whole
+        if turn is None and held is not None:
+            turn = program_module.Turn.from_record(held)
+        return turn
 
     def is_logged(self, ref: records.TurnRef) -> bool:
-        """Return whether a whole turn is known to be in the log."""
+        """Return whether a completed turn is known to be in the log."""
         return self._partitions.whole_turn(ref) is not None
 
     def knows(self, program: records.ProgramId) -> bool:
@@ -176,8 +176,8 @@
         Parameters
         ----------
         keeps_timeout : bool
-            Keep the whole timeout even while the log is unavailable, since no
-            caller waits.
+            Keep the timeout as it is even while the log is unavailable, since
+            no caller waits.
         """
         place = partitions.place_of_program(program)
         if self._partitions.is_unresponsive(place) and not keeps_timeout:
--- a/postspring/histories/recording.py
+++ b/postspring/histories/recording.py
@@ -13,7 +13,7 @@
     "KEEP_SECONDS",
     "append_location",
     "append_record",
-    "append_whole",
+    "append_completed",
     "expedite_retry",
     "is_late",
     "is_unavailable",
@@ -51,7 +51,7 @@
     on_error: Callable[[errors.HistoryError], None],
     caller_wait: float = 0.0,
 ) -> None:
-    """Append the location of a whole turn."""
+    """Append the location of a completed turn."""
     place = partitions_module.place_of_location(record.turn)
     location = records.TurnLocation(record.turn, record.program)
     entry = keyedlog.LogEntry(record.turn, records.encode_record(location))
@@ -60,7 +60,7 @@
     )
 
 
-def append_whole(
+def append_completed(
     partitions: partitions_module.Partitions,
     record: records.WholeTurn,
     on_folded: Callable[[fold_module.ProgramFold], None],
@@ -68,7 +68,7 @@
     on_error: Callable[[errors.HistoryError], None],
     caller_wait: float,
 ) -> None:
-    """Append a whole turn and its location.
+    """Append a completed turn and its location.
 
     Parameters
     ----------
@@ -94,7 +94,7 @@
 def expedite_retry(
     partitions: partitions_module.Partitions, record: records.WholeTurn
 ) -> None:
-    """Retry pending appends of a whole turn now, if the log answers again."""
+    """Retry a turn's pending appends now, if the log answers again."""
     for place in _places_of(record):
         partitions.get(place).expedite_retry()
 
@@ -102,7 +102,7 @@
 def is_unavailable(
     partitions: partitions_module.Partitions, record: records.WholeTurn
 ) -> bool:
-    """Return whether a whole turn can't be recorded now, as far as known."""
+    """Return whether a turn can't be recorded now, as far as known."""
     return any(
         partitions.is_unavailable(place) for place in _places_of(record)
     )
@@ -111,14 +111,14 @@
 def is_late(
     partitions: partitions_module.Partitions, record: records.WholeTurn
 ) -> bool:
-    """Return whether recording a whole turn fails, or takes unusually long."""
+    """Return whether recording a turn fails, or takes unusually long."""
     return any(
         partitions.is_unresponsive(place) for place in _places_of(record)
     )
 
 
 def _places_of(record: records.WholeTurn) -> tuple[keyedlog.LogPlace, ...]:
-    """Return the partitions of a whole turn and of its location."""
+    """Return the partitions of a completed turn and of its location."""
     return (
         partitions_module.place_of_program(record.program),
         partitions_module.place_of_location(record.turn),
--- a/postspring/histories/records.py
+++ b/postspring/histories/records.py
@@ -165,7 +165,7 @@
 @_register("at")
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnLocation:
-    """The program among whose records a whole turn is stored."""
+    """The program among whose records a completed turn is stored."""
 
     turn: TurnId
     program: ProgramId
--- a/postspring/histories/shares.py
+++ b/postspring/histories/shares.py
@@ -50,7 +50,7 @@
 
     claim: records.Claim
     tokens: int | None = None
-    is_whole: bool = False
+    is_completed: bool = False
     decision: Decision | None = None
 
 
@@ -78,7 +78,7 @@
             if (
                 known.claim == entry.claim
                 and known.tokens == entry.tokens
-                and known.is_whole is entry.is_whole
+                and known.is_completed is entry.is_completed
             ):
                 return known
         return None
@@ -92,7 +92,7 @@
     def has_run(self) -> bool:
         """Whether the turn has ended, and may have run before."""
         return any(
-            entry.is_whole or entry.claim.ceiling > 0
+            entry.is_completed or entry.claim.ceiling > 0
             for entry in self.entries
             if entry.tokens is not None
         )
--- a/postspring/histories/tests/test_accounts.py
+++ b/postspring/histories/tests/test_accounts.py
@@ -152,7 +152,7 @@
         return state
 
     def complete(self, turn, author, tokens, from_reserve):
-        """Fold the record of a whole turn."""
+        """Fold the record of a completed turn."""
         claim = histories.Claim(author, 10, 330, 0, from_reserve)
         self.program.complete(
             histories.WholeTurn("p", turn, claim, None, tokens, b"", b"")
--- a/postspring/histories/tests/test_awaited.py
+++ b/postspring/histories/tests/test_awaited.py
@@ -87,10 +87,10 @@
         self.assertIs(histories.TurnState.OPEN, self.open("v"))
         self.assertIs(histories.Origin.LOG, self.vm.tickets["v"].origin)
 
-    def test_a_whole_turn_with_a_waiting_caller_goes_first(self):
+    def test_a_completed_turn_with_a_waiting_caller_goes_first(self):
         # The test guards against the loss of a turn that waited in the queue:
-        # its caller had the whole answer, only other VMs held it, and then all
-        # VMs were killed.
+        # its caller had the complete answer, only other VMs held it, and then
+        # all VMs were killed.
         self.restore_log()
         ticket = histories.Ticket(
             LAST_PROGRAM, "u", 10, 25, histories.Origin.RESERVE
--- a/postspring/histories/tests/test_budget_races.py
+++ b/postspring/histories/tests/test_budget_races.py
@@ -25,7 +25,7 @@
         strategies.sampled_from((0.0, 0.002, 0.006, 0.3, 2.0)),  # pause
         strategies.sampled_from((0, 3, CEILING, CEILING)),  # tokens
         strategies.sampled_from((0.0, 0.01, 1.0, 4.0)),  # how long it runs
-        strategies.booleans(),  # whether it is whole
+        strategies.booleans(),  # whether it completes
         strategies.sampled_from(
             ("", "", "", "lose", "late", "busy", "restart", "expire")
         ),
@@ -51,7 +51,7 @@
         vm.log.faults.gives_up_after = 1.0
         return vm
 
-    def step(self, number, name, pause, tokens, seconds, is_whole, event):
+    def step(self, number, name, pause, tokens, seconds, is_completed, event):
         """Apply an event, and have a VM run a turn."""
         self.clock.run_for(pause)
         self._apply_event(number, name, event)
@@ -65,7 +65,7 @@
         def ended(ticket):
             if self.vm_by_name[name] is not vm:
                 return
-            if is_whole:
+            if is_completed:
                 vm.journal.complete_turn(
                     ticket, None, tokens, b"i", b"o", "e", lambda how: None
                 )
--- a/postspring/histories/tests/test_compaction.py
+++ b/postspring/histories/tests/test_compaction.py
@@ -3,10 +3,10 @@
 These tests guard against two VMs that disagree on a program for good: one
 answered 404 for a turn that the other continued, and they refused turns for
 different budgets. While a turn's records shared one key, an opening that was
-sent again to a slow log took effect behind its whole turn and displaced it in
-the compaction; and reserves were computed from the preceding records, which a
-compacted partition no longer has. The tests fold the same records with and
-without a compaction.
+sent again to a slow log took effect behind the record of the completed turn,
+which was lost in the compaction; and reserves were computed from the preceding
+records, which a compacted partition no longer has. The tests fold the same
+records with and without a compaction.
 """
 
 import unittest
@@ -27,7 +27,7 @@
 
 FAULTS = ("none", "none", "lost answer", "late append")
 
-# One turn: its VM, its tokens, whether it is whole, the faults of its opening
+# One turn: its VM, its tokens, whether it completes, the faults of its opening
 # and of its end, and how many other turns start before it ends.
 TURNS = strategies.lists(
     strategies.tuples(
@@ -65,11 +65,11 @@
     def run(self, turns):
         """Run turns, some of them concurrently."""
         for number, turn in enumerate(turns):
-            name, tokens, is_whole, at_start, at_end, overlap = turn
+            name, tokens, is_completed, at_start, at_end, overlap = turn
             vm = self.vm_by_name[name]
             self._set_fault(vm, at_start)
             if vm.open(f"t{number}", "p", CEILING, BUDGET) is OPEN:
-                ending = (vm, f"t{number}", tokens, is_whole, at_end)
+                ending = (vm, f"t{number}", tokens, is_completed, at_end)
                 self._open_turns.append(ending)
             while len(self._open_turns) > overlap:
                 self._finish(*self._open_turns.pop(0))
@@ -81,9 +81,9 @@
         """Return the records in the program's partition."""
         return list(self.data.records_by_place.get(PLACE, ()))
 
-    def _finish(self, vm, turn, tokens, is_whole, fault):
+    def _finish(self, vm, turn, tokens, is_completed, fault):
         self._set_fault(vm, fault)
-        if is_whole:
+        if is_completed:
             vm.complete(turn, tokens=tokens)
         else:
             vm.end(turn, tokens)
@@ -150,7 +150,7 @@
 
 
 class DuplicateOpeningTest(test_journal.JournalCase):
-    """An opening takes effect once more behind its whole turn."""
+    """An opening takes effect once more behind its completed turn."""
 
     def setUp(self):
         super().setUp()
--- a/postspring/histories/tests/test_location.py
+++ b/postspring/histories/tests/test_location.py
@@ -1,6 +1,6 @@
-"""A whole turn of another program whose location is not in the log yet.
+"""A completed turn of another program whose location is not recorded.
 
-These tests guard against 404 after a whole answer (shown by
+These tests guard against 404 after a complete answer (shown by
 front/tests/test_places.py). A VM stopped holding a turn when its record was in
 its program's partition, though its location was not recorded yet; and a VM
 that had read the record held no replica, but answered that it did. A caller
@@ -14,8 +14,8 @@
 TURN = histories.TurnRef("q", "a")
 
 
-def whole():
-    """Return the record of the whole turn."""
+def completed():
+    """Return the record of the completed turn."""
     claim = histories.Claim("one", 10, 25)
     return histories.WholeTurn("q", "a", claim, None, 4, b"<a>", b">")
 
@@ -47,7 +47,7 @@
     def test_a_vm_that_has_read_the_record_holds_a_replica(self):
         """The author is killed before it has recorded the location."""
         self.two.chain("a", program="q")
-        self.two.journal.keep_copy(histories.encode_record(whole()))
+        self.two.journal.keep_copy(histories.encode_record(completed()))
         self.assertEqual(TURN, self.two.journal.ref_of("p", "a"))
         self.clock.run_for(10.0)
         three = self.vm("three")
@@ -56,7 +56,7 @@
     def test_such_a_replica_costs_one_append(self):
         """Its record is in the log: only the location is missing."""
         self.two.chain("a", program="q")
-        self.two.journal.keep_copy(histories.encode_record(whole()))
+        self.two.journal.keep_copy(histories.encode_record(completed()))
         self.clock.run_for(10.0)
         self.assertEqual(1, self.two.log.calls.count("append"))
         self.assertEqual(0, self.two.journal.held)
@@ -65,5 +65,5 @@
         self.throttled.clear()
         self.clock.run_for(2.0)
         self.two.chain("a", program="p")
-        self.two.journal.keep_copy(histories.encode_record(whole()))
+        self.two.journal.keep_copy(histories.encode_record(completed()))
         self.assertEqual(0, self.two.journal.held)
--- a/postspring/histories/tests/test_partial_outage.py
+++ b/postspring/histories/tests/test_partial_outage.py
@@ -1,10 +1,10 @@
 """Some VMs reach the log while others don't.
 
-These tests guard against the loss of turns that callers received whole while a
-third of the VMs did not reach the log, until all VMs lost power. VMs with the
-log held the replicas and looked for them in the log only after 2 to 3 s, as in
-an outage for all VMs, where there is no hurry; the power was lost 0.1 to 0.2 s
-after the turns ended as ``held``.
+These tests guard against the loss of turns whose complete answers callers had
+received. A third of the VMs did not reach the log until all VMs lost power.
+VMs with the log held replicas and looked for them in the log only after 2 to 3
+s, as in an outage for all VMs, where there is no hurry; power was lost 0.1 to
+0.2 s after the turns had ended as ``held``.
 """
 
 from unittest import mock
--- a/postspring/histories/tests/test_partitions.py
+++ b/postspring/histories/tests/test_partitions.py
@@ -19,7 +19,7 @@
 class CatchUpTest(unittest.TestCase):
     """All VMs together catch up with half of the log's rate.
 
-    These tests guard against 64 VMs that exceed the whole rate: pending
+    These tests guard against 64 VMs that exceed even the full rate: pending
     retries were spread by each VM's share when the log recovered, but each
     partition also retried by itself after a second at most, whatever the
     share.
--- a/postspring/histories/tests/test_program.py
+++ b/postspring/histories/tests/test_program.py
@@ -14,8 +14,8 @@
     return histories.OpenedTurn("p", turn, claim)
 
 
-def whole(turn, parent=None, tokens=4):
-    """Return a record of a whole turn."""
+def completed(turn, parent=None, tokens=4):
+    """Return a record of a completed turn."""
     return histories.WholeTurn("p", turn, CLAIM, parent, tokens, b"i", b"o")
 
 
@@ -41,9 +41,9 @@
         state = self.program.open(opened("c"))
         self.assertIs(histories.TurnState.REFUSED, state)
 
-    def test_a_whole_turn_is_charged_with_what_it_generated(self):
+    def test_a_completed_turn_is_charged_with_what_it_generated(self):
         self.program.open(opened("a"))
-        self.program.complete(whole("a"))
+        self.program.complete(completed("a"))
         self.assertEqual(4, self.program.charged)
 
     def test_tokens_of_a_cut_off_turn_stay_charged(self):
@@ -160,12 +160,12 @@
         self.program.open(opened("a"))
         self.assertIsNone(self.program.whole_turn("a"))
 
-    def test_a_whole_turn_is_part_of_the_history(self):
-        self.program.complete(whole("a"))
+    def test_a_completed_turn_is_part_of_the_history(self):
+        self.program.complete(completed("a"))
         self.assertEqual(b"o", self.program.whole_turn("a").output)
 
-    def test_a_whole_turn_is_not_ended_afterwards(self):
-        self.program.complete(whole("a"))
+    def test_a_completed_turn_is_not_ended_afterwards(self):
+        self.program.complete(completed("a"))
         self.program.end(ended("a", 0))
         self.assertIsNotNone(self.program.whole_turn("a"))
 
@@ -176,7 +176,7 @@
     def test_each_kind_of_record_is_decoded(self):
         for record in (
             opened("a"),
-            whole("a", ("q", "b")),
+            completed("a", ("q", "b")),
             ended("a", 1),
             histories.TurnLocation("a", "p"),
         ):
@@ -191,7 +191,7 @@
             histories.record_key(record, histories.encode_record(record))
             for record in (
                 opened("a"),
-                whole("a"),
+                completed("a"),
                 ended("a", 0),
                 ended("a", 1),
             )
--- a/postspring/histories/tests/test_slow_log.py
+++ b/postspring/histories/tests/test_slow_log.py
@@ -53,7 +53,7 @@
 
 
 class SlowLogTest(SlowLogCase):
-    """Where a turn is stored when its caller has the whole answer."""
+    """Where a turn is stored when its caller has the complete answer."""
 
     def test_a_turn_waits_for_a_slow_log(self):
         storage, seconds = self.complete()
@@ -93,7 +93,7 @@
     """The caller's deadline comes while a turn waits for the log.
 
     These tests guard against a turn that other VMs have held for long, but
-    that is reported as stored nowhere, so that its whole answer is cut off.
+    that is reported as stored nowhere, so that its complete answer is cut off.
     """
 
     def complete_by(self, seconds):
--- a/postspring/histories/whole_turns.py
+++ b/postspring/histories/whole_turns.py
@@ -1,4 +1,4 @@
-"""Records whole turns in the log, each together with its ancestors.
+"""Records completed turns in the log, each together with its ancestors.
 
 Any VM can continue a turn from the log alone, even after all VMs have lost
 what they held, only if the turn's ancestors are in the log too. A turn
@@ -26,7 +26,7 @@
 
 
 class TurnRecorder:
-    """Records whole turns: this VM's own, and replicas of other VMs' turns.
+    """Records completed turns of this VM, and replicas of other VMs' turns.
 
     Parameters
     ==========
@@ -34,7 +34,7 @@
     held : HeldTurns
         Turns whose records this VM does not have from the log.
     known_turn : callable
-        Returns a whole turn if this VM has it in memory.
+        Returns a completed turn if this VM has it in memory.
     make_loss_reporter : callable
         Returns the error handler that reports a turn as lost.
     """
@@ -87,9 +87,7 @@
             if is_recorded:
                 for item in turns:
                     self._held.note_recorded_elsewhere(_ref_of(item))
-                LOG.info(
-                    "turn recorded by another VM", extra=_log_fields(turn)
-                )
+                LOG.info("recorded by another VM", extra=_log_fields(turn))
             on_done(is_recorded)
 
         holders.record(
@@ -114,7 +112,7 @@
             return
 
         def recorded() -> None:
-            LOG.info("replica recorded", extra=_log_fields(turn))
+            LOG.info("copy recorded", extra=_log_fields(turn))
 
         self._record(turn, lambda fold: None, recorded, caller_wait)
 
@@ -136,7 +134,7 @@
             self._held.note_recorded(ref)
             on_recorded()
 
-        recording.append_whole(
+        recording.append_completed(
             self._partitions,
             turn,
             on_folded,
