--- a/postspring/histories/tests/test_accounts.py
+++ b/postspring/histories/tests/test_accounts.py
@@ -18,7 +18,7 @@
         self.program.end(histories.EndedTurn("p", "r", claim, 0))
         self.accounts.note_granted("p", 30, reserve_fits=True)
 
-    def take(self, turn, ceiling=10, budget=100, is_log_away=False):
+    def admit(self, turn, ceiling=10, budget=100, is_log_away=False):
         """Request the right to run a turn."""
         return self.accounts.admit(
             self.program, turn, ceiling, budget, is_log_away
@@ -29,54 +29,54 @@
     """Turns that are charged to a reserve in the log."""
 
     def test_running_turns_use_the_reserve(self):
-        origins = [self.take(turn).origin for turn in "abc"]
+        origins = [self.admit(turn).origin for turn in "abc"]
         self.assertEqual([RESERVE] * 3, origins)
-        self.assertIsNone(self.take("d"))
+        self.assertIsNone(self.admit("d"))
 
     def test_an_ended_turn_uses_what_it_spent(self):
-        ticket = self.take("a", ceiling=30)
+        ticket = self.admit("a", ceiling=30)
         self.accounts.note_spent(ticket, 5)
-        self.assertIsNotNone(self.take("b", ceiling=25))
+        self.assertIsNotNone(self.admit("b", ceiling=25))
 
     def test_a_settled_turn_reduces_the_reserve(self):
-        ticket = self.take("a", ceiling=30)
+        ticket = self.admit("a", ceiling=30)
         self.accounts.note_spent(ticket, 5)
         self.accounts.note_settled(ticket, 5)
-        self.assertIsNone(self.take("b", ceiling=26))
-        self.assertIsNotNone(self.take("c", ceiling=25))
+        self.assertIsNone(self.admit("b", ceiling=26))
+        self.assertIsNotNone(self.admit("c", ceiling=25))
 
     def test_a_released_reserve_is_not_used(self):
         self.assertEqual(30, self.accounts.release_idle(self.program))
-        self.assertIsNone(self.take("a"))
+        self.assertIsNone(self.admit("a"))
 
     def test_the_tokens_of_running_turns_are_not_released(self):
-        self.take("a", ceiling=20)
+        self.admit("a", ceiling=20)
         self.assertEqual(10, self.accounts.release_idle(self.program))
 
     def test_unfit_tokens_are_released_and_not_used(self):
         self.accounts.note_granted("p", 15, reserve_fits=False)
-        self.assertIsNone(self.take("a", ceiling=31))
+        self.assertIsNone(self.admit("a", ceiling=31))
         self.assertEqual(45, self.accounts.release_idle(self.program))
         self.assertEqual(0, self.accounts.release_idle(self.program))
 
     def test_tokens_charged_by_the_fold_alone_are_not_used(self):
         claim = histories.Claim("vm", 10, 100, granted=50)
         self.program.open(histories.OpenedTurn("p", "x", claim))
-        self.assertIsNone(self.take("a", ceiling=31))
+        self.assertIsNone(self.admit("a", ceiling=31))
 
     def test_tokens_no_longer_charged_here_are_not_used(self):
         # This VM reports what it charges; other VMs spend the rest offline.
         self.program = histories.Program("p")
-        self.assertIsNone(self.take("a"))
+        self.assertIsNone(self.admit("a"))
 
     def test_the_number_of_reserves_is_bounded(self):
-        most = histories.accounts.MAX_RESERVES
-        for number in range(most):
+        limit = histories.accounts.MAX_RESERVES
+        for number in range(limit):
             self.accounts.note_granted(f"q{number}", 30, reserve_fits=True)
-        self.assertIsNone(self.take("a"))
+        self.assertIsNone(self.admit("a"))
 
     def test_without_a_budget_every_turn_may_run(self):
-        self.assertIsNotNone(self.take("a", ceiling=10**6, budget=None))
+        self.assertIsNotNone(self.admit("a", ceiling=10**6, budget=None))
 
 
 class OfflineAccountTest(AccountsCase):
@@ -88,28 +88,28 @@
 
     def test_it_is_used_only_while_the_log_is_unavailable(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
-        self.assertIsNone(self.take("a"))
-        self.assertIs(HOME, self.take("a", is_log_away=True).origin)
+        self.assertIsNone(self.admit("a"))
+        self.assertIs(HOME, self.admit("a", is_log_away=True).origin)
 
     def test_tokens_charged_in_the_log_are_subtracted(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
         self.program.charged = 95
-        self.assertIsNone(self.take("a", is_log_away=True))
+        self.assertIsNone(self.admit("a", is_log_away=True))
 
     def test_an_uncertain_account_limits_a_turn(self):
         self.accounts.open_offline_account("p", 10, is_certain=False)
-        ticket = self.take("a", is_log_away=True)
+        ticket = self.admit("a", is_log_away=True)
         self.accounts.note_spent(ticket, 4)
-        self.assertEqual(6, self.take("b", is_log_away=True).limit)
+        self.assertEqual(6, self.admit("b", is_log_away=True).limit)
 
     def test_it_starts_no_turn_with_little_left(self):
         self.accounts.open_offline_account("p", 10, is_certain=False)
-        self.accounts.note_spent(self.take("a", is_log_away=True), 6)
-        self.assertIsNone(self.take("b", is_log_away=True))
+        self.accounts.note_spent(self.admit("a", is_log_away=True), 6)
+        self.assertIsNone(self.admit("b", is_log_away=True))
 
     def test_its_tokens_include_unsettled_turns(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
-        ticket = self.take("a", is_log_away=True)
+        ticket = self.admit("a", is_log_away=True)
         self.accounts.note_spent(ticket, 4)
         self.assertEqual(100, self.accounts.home_tokens("p"))
         self.accounts.note_settled(ticket, 4)
@@ -117,7 +117,7 @@
 
     def test_it_is_closed_when_all_its_turns_are_settled(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
-        ticket = self.take("a", is_log_away=True)
+        ticket = self.admit("a", is_log_away=True)
         self.accounts.close_offline_account("p")
         self.assertTrue(self.accounts.has_offline_account("p"))
         self.accounts.note_settled(ticket, 4)
--- a/postspring/histories/tests/test_awaited.py
+++ b/postspring/histories/tests/test_awaited.py
@@ -146,7 +146,7 @@
             "w", "whole", 10, 25, histories.Origin.RESERVE
         )
         self.vm.journal.complete_turn(
-            ticket, None, 4, b"<w>", b">", "engine", lambda how: None
+            ticket, None, 4, b"<w>", b">", "engine", lambda storage: None
         )
         self.clock.run_for(5.0)
         self.assertEqual(1, self.vm.journal.held)
--- a/postspring/histories/tests/test_budget_races.py
+++ b/postspring/histories/tests/test_budget_races.py
@@ -67,7 +67,7 @@
                 return
             if is_completed:
                 vm.journal.complete_turn(
-                    ticket, None, tokens, b"i", b"o", "e", lambda how: None
+                    ticket, None, tokens, b"i", b"o", "e", lambda storage: None
                 )
             else:
                 vm.journal.end_turn(ticket, tokens)
@@ -108,7 +108,7 @@
 
 
 class BudgetRaceTest(unittest.TestCase):
-    """Any steps of three VMs, which reserve more than in production.
+    """Any steps of three VMs, which reserve more than by default.
 
     With an eighth of the remaining budget, two reserves hardly ever conflict.
     """
--- a/postspring/histories/tests/test_location.py
+++ b/postspring/histories/tests/test_location.py
@@ -30,7 +30,7 @@
         self.throttled.add(place)
         ticket = histories.Ticket("q", "a", 10, 25, histories.Origin.LOG)
         self.one.journal.complete_turn(
-            ticket, None, 4, b"<a>", b">", "", lambda how: None
+            ticket, None, 4, b"<a>", b">", "", lambda storage: None
         )
         self.clock.run_for(1.0)
 
--- a/postspring/histories/tests/test_lost_answers.py
+++ b/postspring/histories/tests/test_lost_answers.py
@@ -27,9 +27,9 @@
         faults.down_places.clear()
         self.one.open("z", program="q")
         faults.lose_answers = 1
-        began = self.clock.now
+        started_at = self.clock.now
         self.assertIs(test_journal.OPEN, self.one.open("b"))
-        self.assertLess(self.clock.now - began, 0.7)
+        self.assertLess(self.clock.now - started_at, 0.7)
 
     def test_the_usual_time_is_that_of_the_answered_call(self):
         faults = self.one.log.faults
@@ -38,6 +38,6 @@
             self.one.complete(f"a{number}")
             self.clock.run_for(0.1)
         faults.lose_answers = 1
-        began = self.clock.now
+        started_at = self.clock.now
         self.one.complete("b")
-        self.assertLess(self.clock.now - began, PAUSE_SECONDS)
+        self.assertLess(self.clock.now - started_at, PAUSE_SECONDS)
--- a/postspring/histories/tests/test_partial_outage.py
+++ b/postspring/histories/tests/test_partial_outage.py
@@ -20,7 +20,7 @@
         super().setUp()
         self.log = self.two.log
 
-    def keep(self, turn, is_log_away=True):
+    def hold_replica(self, turn, is_log_away=True):
         """Give the VM a replica."""
         claim = histories.Claim("gone", 10, 25)
         record = histories.WholeTurn("p", turn, claim, None, 4, b"<", b">")
@@ -28,7 +28,7 @@
         self.two.journal.keep_copy(data, is_log_away)
 
     def test_a_vm_with_the_log_records_a_replica_at_once(self):
-        self.keep("a")
+        self.hold_replica("a")
         self.clock.run_for(0.5)
         self.assertEqual(0, self.two.journal.held)
         self.assertEqual(b"<>", self.one.chain("a"))
@@ -39,7 +39,7 @@
         with mock.patch.object(
             self.two.journal, "refresh_program", autospec=True
         ) as refresh:
-            self.keep("a")
+            self.hold_replica("a")
             self.clock.run_for(1.5)
             refresh.assert_not_called()
             self.clock.run_for(2.0)
@@ -50,7 +50,7 @@
         self.two.complete("z")
         self.clock.run_for(1.0)
         before = len(self.log.calls)
-        self.keep("a")
+        self.hold_replica("a")
         self.clock.run_for(1.5)
         self.assertEqual(before, len(self.log.calls))
         self.clock.run_for(4.0)
@@ -59,6 +59,6 @@
     def test_a_log_that_the_author_reaches_is_not_read_at_once(self):
         """The log is slow for the author, as this VM may not know yet."""
         before = len(self.log.calls)
-        self.keep("a", is_log_away=False)
+        self.hold_replica("a", is_log_away=False)
         self.clock.run_for(1.5)
         self.assertEqual(before, len(self.log.calls))
--- a/postspring/histories/tests/test_slow_log.py
+++ b/postspring/histories/tests/test_slow_log.py
@@ -47,9 +47,9 @@
 
     def complete(self, turn="a"):
         """Complete a turn; return where it is stored, and after how long."""
-        began = self.clock.now
+        started_at = self.clock.now
         storage = self.one.complete(turn)
-        return storage, self.clock.now - began
+        return storage, self.clock.now - started_at
 
 
 class SlowLogTest(SlowLogCase):
@@ -128,8 +128,8 @@
         return len(self.one.log.calls) - before
 
     def test_an_append_in_flight_is_not_sent_again(self):
-        # The first turns show how slow the log is, and what was sent twice is
-        # read.
+        # The first turns measure how slow the log is, and the VM reads their
+        # duplicates.
         self.appends(2)
         # Each turn has a record and a location.
         self.assertEqual(20, self.appends(10))
--- a/postspring/histories/tests/test_whole_turns.py
+++ b/postspring/histories/tests/test_whole_turns.py
@@ -44,10 +44,10 @@
 
     def setUp(self):
         super().setUp()
-        self.keep("a")
-        self.keep("b", "a")
+        self.hold_replica("a")
+        self.hold_replica("b", "a")
 
-    def keep(self, turn, parent=None):
+    def hold_replica(self, turn, parent=None):
         """Have the first VM hold a replica."""
         data = histories.encode_record(replica_of(turn, parent))
         self.one.journal.keep_copy(data)
@@ -116,9 +116,9 @@
 
     def test_it_is_held_if_no_vm_reaches_the_log(self):
         self.holders.can_record = False
-        began = self.clock.now
+        started_at = self.clock.now
         self.assertEqual("held", self.one.complete("a"))
-        self.assertLess(self.clock.now - began, 0.2)
+        self.assertLess(self.clock.now - started_at, 0.2)
 
     def test_no_other_vm_is_asked_while_the_log_answers(self):
         self.one.log.faults.down = False
