--- a/postspring/histories/held.py
+++ b/postspring/histories/held.py
@@ -62,7 +62,7 @@
         return ref
 
     def mark_submitted(self, ref: records.TurnRef) -> bool:
-        """Mark a turn as submitted to the log; return if it was not yet.
+        """Mark a turn as submitted; return whether this is the first time.
 
         The append of a submitted turn is retried until it is recorded or its
         timeout is over.
@@ -77,7 +77,7 @@
         self._notify_waiters(ref)
 
     def note_lost(self, ref: records.TurnRef) -> None:
-        """Drop a turn that was never recorded, and all who wait for it."""
+        """Drop a turn that was never recorded, and its waiting functions."""
         self._forget(ref)
         self._waiters = [
             item for item in self._waiters if ref not in item.unrecorded
--- a/postspring/histories/openings.py
+++ b/postspring/histories/openings.py
@@ -1,4 +1,4 @@
-"""Opens turns in the log, which decides whether they may run."""
+"""Opens turns by records in the log, and settles those that don't run."""
 
 from collections.abc import Callable
 
--- a/postspring/histories/records.py
+++ b/postspring/histories/records.py
@@ -181,7 +181,7 @@
 
 
 def fits_key(program: str, turn: str) -> bool:
-    """Return whether the keys of a turn's records fit the longest key.
+    """Return whether a turn's keys have at most ``MAX_KEY_BYTES``.
 
     Examples
     --------
