--- a/postspring/histories/copies.py
+++ b/postspring/histories/copies.py
@@ -1,4 +1,4 @@
-"""Copies of other VMs' records, kept until they stand in the log."""
+"""Replicas of other VMs' records, held until the log has them."""
 
 from collections.abc import Callable
 import random
@@ -8,65 +8,66 @@
 from postspring.histories import records
 from postspring.transport import timers as timers_module
 
-__all__ = ["CopyCheck", "CopyKeeper", "EndCopies"]
+__all__ = ["EndedTurnReplicas", "ReplicaCheck", "ReplicaStore"]
 
-# When a copy is looked for in the log, in seconds: its author appends it as
-# soon as the log answers, and only if that VM is gone, or the log stays away,
-# it has to be appended here.  VMs look at different times, so that one finds
-# what another has appended.
-CHECK_SECONDS = (2.0, 3.0)
-# The same by a VM whose log is quick if the author's is away, in seconds: what
-# only VMs keep is lost if all lose power.  The latest of four still finds
-# what the first has appended in some ms; of a log that is slow for the author
-# too, all four would append it, and what waits there would wait longer.
-SOON_SECONDS = (0.0, 0.2)
-# How long the log may be away, in seconds; above the retention of the users'
-# routes.
-TIMEOUT_SECONDS = 120.0
+# Delay until a VM looks for a replica in the log, in seconds. The author
+# appends its record as soon as the log answers; only if the author is gone, or
+# the log stays unavailable, another VM has to append it. The delay is random,
+# so that one VM finds what another has appended.
+CHECK_DELAY_SECONDS = (2.0, 3.0)
+# The same for a VM whose log is fast while the author's is unavailable, in
+# seconds: replicas are lost if all VMs lose power. A fast log takes some ms,
+# so the last of four VMs still finds what the first has appended. With a log
+# that is slow for the author too, all four would append the record and delay
+# other appends.
+URGENT_CHECK_DELAY_SECONDS = (0.0, 0.2)
+# How long the log may be unavailable, in seconds; above the retention of the
+# users' routes.
+LOG_TIMEOUT_SECONDS = 120.0
 
 
-class CopyKeeper(Protocol):
-    """What a check needs of the journal that keeps the copy."""
+class ReplicaStore(Protocol):
+    """The journal that holds a replica, as its check uses it."""
 
     def refresh_program(
-        self, program, timeout, on_done, on_error, waits_long=False
+        self, program, timeout, on_done, on_error, keeps_timeout=False
     ) -> None:
         """Fold all records of a program's partition."""
 
     def locate(self, turn, timeout, on_done, on_error) -> None:
-        """Tell among which program's records a turn stands."""
+        """Find the program among whose records a turn is stored."""
 
     def is_logged(self, ref: records.TurnRef) -> bool:
-        """Return whether a whole turn is known to stand in the log."""
+        """Return whether a completed turn is known to be in the log."""
 
-    def record_copy(self, record: records.WholeTurn) -> None:
-        """Append a copy that is not in the log."""
+    def append_replica(self, record: records.WholeTurn) -> None:
+        """Append a replica that the log lacks."""
 
-    def record_location(self, record: records.WholeTurn) -> None:
-        """Append where a copy stands whose place is not in the log."""
+    def append_replica_location(self, record: records.WholeTurn) -> None:
+        """Append the location of a replica whose record is in the log."""
 
-    def drop_copy(self, ref: records.TurnRef) -> None:
-        """Forget a copy whose records stand in the log."""
+    def drop_replica(self, ref: records.TurnRef) -> None:
+        """Drop a replica whose record and location are in the log."""
 
 
-class CopyCheck:
-    """Looks whether a copy stands in the log, and appends what is missing.
+class ReplicaCheck:
+    """Checks whether a replica is in the log, and appends what is missing.
 
-    One read costs the log less than an append, and all VMs that keep a copy
-    would append it at the same time.
+    A read costs the log less than an append, and without the check all VMs
+    that hold a replica would append it at the same time.
 
     Parameters
     ==========
 
     record : WholeTurn
-        The copy.
+        The replica.
     on_lost : callable
-        Told if the log stayed away too long.
+        Called with the error if the log was unavailable for too long.
     """
 
     def __init__(
         self,
-        journal: CopyKeeper,
+        journal: ReplicaStore,
         timers: timers_module.Timers,
         record: records.WholeTurn,
         on_lost: Callable[[errors.HistoryError], None],
@@ -74,50 +75,56 @@
         self._journal = journal
         self._timers = timers
         self._record = record
-        self._lost = on_lost
+        self._on_lost = on_lost
         self._ref = records.TurnRef(record.program, record.turn)
 
     def start(self, is_urgent: bool) -> None:
-        """Look soon, or after a while."""
-        bounds = SOON_SECONDS if is_urgent else CHECK_SECONDS
+        """Check after the usual delay, or after a short one."""
+        bounds = (
+            URGENT_CHECK_DELAY_SECONDS if is_urgent else CHECK_DELAY_SECONDS
+        )
         seconds = random.uniform(*bounds)
-        self._timers.call_later(seconds, self._look)
+        self._timers.call_later(seconds, self._check_log)
 
     # -- own ------------------------------------------------------------------
 
-    def _look(self) -> None:
+    def _check_log(self) -> None:
         self._journal.refresh_program(
             self._record.program,
-            TIMEOUT_SECONDS,
+            LOG_TIMEOUT_SECONDS,
             self._folded,
-            self._lost,
-            waits_long=True,
+            self._on_lost,
+            keeps_timeout=True,
         )
 
     def _folded(self) -> None:
         if not self._journal.is_logged(self._ref):
-            self._journal.record_copy(self._record)
+            self._journal.append_replica(self._record)
             return
         self._journal.locate(
-            self._record.turn, TIMEOUT_SECONDS, self._located, self._lost
+            self._record.turn,
+            LOG_TIMEOUT_SECONDS,
+            self._located,
+            self._on_lost,
         )
 
     def _located(self, program: records.ProgramId | None) -> None:
         if program is None:
-            self._journal.record_location(self._record)
+            self._journal.append_replica_location(self._record)
         else:
-            self._journal.drop_copy(self._ref)
+            self._journal.drop_replica(self._ref)
 
 
-class EndCopies:
-    """What turns used that left no history, as other VMs tell.
+class EndedTurnReplicas:
+    """Replicas of records of turns that left no history.
 
     Explanation
     ===========
 
-    A turn that ran at a program's home while the log is away is charged by
-    nothing in the log.  If its VM dies before the log is back, the program
-    would have what it used once more; so some other VMs keep its record.
+    While the log is unavailable, no record in it charges a turn that runs on a
+    program's offline account. If the turn's VM dies before the log is
+    available again, the program could spend the same tokens once more; so some
+    other VMs hold the record.
 
     Parameters
     ==========
@@ -125,9 +132,9 @@
     refresh : callable
         Folds all records of a program's partition.
     is_folded : callable
-        Returns whether a record stands in the log, as far as was read.
+        Returns whether this VM has folded a record.
     append : callable
-        Appends a record; takes what to call when that is done.
+        Appends a record; takes a function to call when that has ended.
     """
 
     def __init__(
@@ -141,39 +148,39 @@
         self._refresh = refresh
         self._is_folded = is_folded
         self._append = append
-        self._kept: set[records.EndedTurn] = set()
+        self._stored: set[records.EndedTurn] = set()
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._stored)
 
     @property
-    def kept(self) -> list[records.EndedTurn]:
-        """The records that are kept."""
-        return list(self._kept)
+    def stored(self) -> list[records.EndedTurn]:
+        """The records that this VM holds."""
+        return list(self._stored)
 
-    def knows(self, program: records.ProgramId) -> bool:
-        """Return whether a turn of a program is among them."""
-        return any(record.program == program for record in self._kept)
+    def has_program(self, program: records.ProgramId) -> bool:
+        """Return whether one of the records belongs to a program."""
+        return any(record.program == program for record in self._stored)
 
     def tokens_by_turn(
         self, program: records.ProgramId
     ) -> dict[records.TurnId, int]:
-        """Return what a program's turns among them used."""
+        """Return the tokens of a program's turns by these records."""
         return {
             record.turn: record.tokens
-            for record in self._kept
+            for record in self._stored
             if record.program == program
         }
 
-    def keep(self, record: records.EndedTurn) -> None:
-        """Keep a record, and look for it in the log after a while."""
-        if record in self._kept or self._is_folded(record):
+    def add(self, record: records.EndedTurn) -> None:
+        """Hold a record, and look for it in the log after a delay."""
+        if record in self._stored or self._is_folded(record):
             return
-        self._kept.add(record)
-        seconds = random.uniform(*CHECK_SECONDS)
-        self._timers.call_later(seconds, self._look, record)
+        self._stored.add(record)
+        seconds = random.uniform(*CHECK_DELAY_SECONDS)
+        self._timers.call_later(seconds, self._check_log, record)
 
-    def _look(self, record: records.EndedTurn) -> None:
+    def _check_log(self, record: records.EndedTurn) -> None:
         def folded() -> None:
             if self._is_folded(record):
                 self._drop(record)
@@ -182,11 +189,11 @@
 
         self._refresh(
             record.program,
-            TIMEOUT_SECONDS,
+            LOG_TIMEOUT_SECONDS,
             folded,
             lambda error: self._drop(record),
-            waits_long=True,
+            keeps_timeout=True,
         )
 
     def _drop(self, record: records.EndedTurn) -> None:
-        self._kept.discard(record)
+        self._stored.discard(record)
