--- a/postspring/transport/__init__.py
+++ b/postspring/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Transport: timers, sockets and HTTP requests on the circuits loop."""
+"""Timers, TCP connections and HTTP/1.1 on the circuits event loop."""
 
 from postspring.transport.http_client import Exchange
 from postspring.transport.http_client import HttpClient
--- a/postspring/transport/connecting.py
+++ b/postspring/transport/connecting.py
@@ -1,14 +1,23 @@
-"""A connection that is being opened."""
+"""Outgoing connections that are being established, and their errors."""
 
 import errno
 
 from postspring import errors
 
-__all__ = ["Connecting", "connect_error", "name_of"]
+__all__ = ["PendingConnection", "connect_error", "error_name"]
 
 
-class Connecting:
-    """Who waits for it, and for how long."""
+class PendingConnection:
+    """An outgoing connection whose TCP handshake is not complete.
+
+    Parameters
+    ==========
+
+    on_open, on_error : callable
+        See :meth:`ConnectingHub.open`.
+    deadline : TimerHandle
+        Timer that fails the attempt.
+    """
 
     __slots__ = ("address", "on_open", "on_error", "deadline")
 
@@ -20,25 +29,25 @@
 
 
 def connect_error(
-    address: tuple[str, int], text: str
+    address: tuple[str, int], reason: str
 ) -> errors.TransportError:
-    """Return the error of a connection that did not open."""
+    """Return the error for a connection that could not be established."""
     host, port = address
     return errors.TransportError(
-        f"connect to {host}:{port}: {text}",
+        f"connect to {host}:{port}: {reason}",
         sent=False,
-        is_unreachable=text in ("timeout", "ETIMEDOUT", "EHOSTUNREACH"),
+        is_unreachable=reason in ("timeout", "ETIMEDOUT", "EHOSTUNREACH"),
     )
 
 
-def name_of(error: Exception) -> str:
-    """Return the name of a system error, or what else is known.
+def error_name(error: Exception) -> str:
+    """Return the symbolic errno of an error, or its text without one.
 
     Examples
     --------
-    >>> name_of(OSError(errno.EMFILE, "Too many open files"))
+    >>> error_name(OSError(errno.EMFILE, "Too many open files"))
     'EMFILE'
-    >>> name_of(OverflowError("port must be 0-65535"))
+    >>> error_name(OverflowError("port must be 0-65535"))
     'port must be 0-65535'
     """
     number = getattr(error, "errno", None)
--- a/postspring/transport/connection_handler.py
+++ b/postspring/transport/connection_handler.py
@@ -1,34 +1,38 @@
-"""What the user of a connection implements."""
+"""Interface between a socket hub and the owner of a connection."""
 
 __all__ = ["ConnectionHandler"]
 
 
 class ConnectionHandler:
-    """What a connection's user implements."""
+    """Receives the events of one TCP connection; subclasses override them."""
 
     def received(self, data: bytes) -> None:
-        """Take bytes from the other side."""
+        """Handle bytes that the peer sent."""
 
     @property
-    def is_answered(self) -> bool:
-        """Whether only bytes that wait to be sent are owed.
+    def flushes_on_eof(self) -> bool:
+        """Whether buffered bytes are still sent after the peer's EOF.
 
-        An end of what the other side sends then closes behind them.
+        True if nothing but those bytes remains to be sent.  If False, the
+        hub closes the connection at the EOF and discards them.
         """
         return False
 
     def closed(self) -> None:
-        """Take note that the connection is gone, from either side."""
+        """Handle the end of the connection, whichever side closed it."""
 
-    def left_unsent(self, unsent: int) -> None:
-        """Take note that so many bytes are lost; the end is told next."""
+    def unsent_discarded(self, unsent: int) -> None:
+        """Handle the loss of ``unsent`` buffered bytes.
 
-    def was_reset(self, is_unreachable: bool) -> None:
-        """Take note that the connection broke; by default as closed.
+        The hub calls :meth:`closed` or :meth:`broken` right after this.
+        """
+
+    def broken(self, is_unreachable: bool) -> None:
+        """Handle a socket error while reading; by default like a close.
 
         Parameters
         ----------
         is_unreachable : bool
-            Whether the other side did not acknowledge what was sent.
+            Whether the kernel gave up on unacknowledged bytes (ETIMEDOUT).
         """
         self.closed()
--- a/postspring/transport/files.py
+++ b/postspring/transport/files.py
@@ -1,4 +1,4 @@
-"""The files that this process may open; each connection is one."""
+"""How many connections fit into the limit of open file descriptors."""
 
 from collections.abc import Callable
 import errno
@@ -7,89 +7,94 @@
 
 from postspring.transport import timers as timers_module
 
-__all__ = ["Shortage", "connection_bound", "connections_within"]
+__all__ = ["ConnectionShortage", "connection_limit", "connections_for_files"]
 
 LOG = logging.getLogger(__name__)
 
-# Files that are no connections: listeners, logs, what libraries open.  The
-# platform keeps as many apart; of a small limit it is a share.
-OTHER_FILES = 200
-OTHER_SHARE = 0.25
-# A caller's connection costs about 20 KB, and a VM has 160 MB.
-MOST_CONNECTIONS = 4000
-# How often a shortage is told; it lasts, and each line says the same.
-TELL_SECONDS = 1.0
+# Descriptors that are not connections: listeners, logs, files that libraries
+# open.  The platform reserves the same number; of a low limit, a share is
+# reserved instead.
+RESERVED_FILES = 200
+RESERVED_SHARE = 0.25
+# A caller's connection takes about 20 KB, and a VM has 160 MB of memory.
+MAX_CONNECTIONS = 4000
+# Interval between log lines; a shortage lasts, and its lines say the same.
+LOG_INTERVAL_SECONDS = 1.0
 SHORTAGE_CODES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-def connections_within(files: int) -> int:
-    """Return how many callers fit into a limit of files.
+def connections_for_files(files: int) -> int:
+    """Return how many callers fit into a limit of open files.
 
-    Each call has a connection to an upstream besides the caller's own, so
-    callers get half of what is left.
+    Each call also needs a connection to an upstream, so callers get half of
+    the descriptors that are not reserved.
 
     Examples
     --------
-    >>> [connections_within(files) for files in (64, 1024, 8200, 10**6)]
+    >>> [connections_for_files(files) for files in (64, 1024, 8200, 10**6)]
     [24, 412, 4000, 4000]
     """
-    others = min(OTHER_FILES, round(OTHER_SHARE * files))
-    return max(1, min(MOST_CONNECTIONS, (files - others) // 2))
+    reserved = min(RESERVED_FILES, round(RESERVED_SHARE * files))
+    return max(1, min(MAX_CONNECTIONS, (files - reserved) // 2))
 
 
-def connection_bound(most_files: int = 0) -> int:
-    """Return how many callers may be connected to this process.
+def connection_limit(max_files: int = 0) -> int:
+    """Return how many callers may be connected to this process at once.
 
     Parameters
     ----------
     most_files : int
-        What the platform lets it open; 0 if that isn't known.
+        Limit of open files that the platform sets; 0 if it is unknown.
     """
     files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if files == resource.RLIM_INFINITY:
-        files = 2 * MOST_CONNECTIONS + OTHER_FILES
-    return connections_within(min(files, most_files or files))
+        files = 2 * MAX_CONNECTIONS + RESERVED_FILES
+    return connections_for_files(min(files, max_files or files))
 
 
-class Shortage:
-    """What is done when no file is left for a connection.
+class ConnectionShortage:
+    """Closes idle connections when no file descriptor is left, and counts.
 
     Attributes
     ==========
 
     reclaimers : list of callables
-        Each closes a connection that nobody uses, and returns whether it
-        found one.
+        Each closes one idle connection, and returns whether it found one.
     count : int
-        How often there was none left, or the bound was reached.
+        How often a connection could not be opened or accepted because no
+        descriptor was left or the limit of connections was reached.
     """
 
     def __init__(self, timers: timers_module.Timers):
         self._timers = timers
-        self._told_at = -TELL_SECONDS
+        self._logged_at = -LOG_INTERVAL_SECONDS
         self.reclaimers: list[Callable[[], bool]] = []
         self.count = 0
 
-    def relieve(self, error: OSError) -> bool:
-        """Give an unused connection up; tell if another try may do."""
+    def close_idle_connection(self, error: OSError) -> bool:
+        """Close one idle connection if descriptors or memory ran out.
+
+        Counts the shortage, and returns whether a connection was closed,
+        so that a retry may succeed.
+        """
         if error.errno not in SHORTAGE_CODES:
             return False
-        relieved = any(reclaim() for reclaim in self.reclaimers)
-        self.note(str(error), relieved)
-        return relieved
+        closed_idle = any(reclaim() for reclaim in self.reclaimers)
+        self.record(str(error), closed_idle)
+        return closed_idle
 
-    def note(self, why: str, relieved: bool = False) -> None:
-        """Count that a connection had to wait or was not opened."""
+    def record(self, reason: str, closed_idle: bool = False) -> None:
+        """Count a connection that was delayed or not opened, and log it."""
         self.count += 1
         now = self._timers.now()
-        if now - self._told_at < TELL_SECONDS:
+        if now - self._logged_at < LOG_INTERVAL_SECONDS:
             return
-        self._told_at = now
+        self._logged_at = now
         LOG.warning(
-            "no room for a connection",
+            "no file descriptor or connection slot is free",
             extra={
-                "reason": why,
+                "reason": reason,
                 "count": self.count,
-                "idle_given_up": relieved,
+                "idle_given_up": closed_idle,
             },
         )
--- a/postspring/transport/http_client.py
+++ b/postspring/transport/http_client.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 requests: h11 on the hub's connections.
+"""HTTP/1.1 client: h11 on the hub's connections.
 
-``circuits.web.client`` keeps one request per object and buffers whole
-answers; streams need h11, its nearest kin, instead.
+``circuits.web.client`` handles one request per object and buffers whole
+responses; streaming needs h11 instead.
 """
 
 import math
@@ -18,13 +18,13 @@
 __all__ = ["Exchange", "HttpClient"]
 
 MAX_IDLE_PER_ADDRESS = 8
-# A request that was broken off without a byte of an answer counts as silence
-# if it lasted as long as a connection is given to open, in seconds.
+# A cancelled request without a byte of a response makes its address suspect
+# only after this long, in seconds: the time a connection is given to open.
 SILENT_SECONDS = 0.4
 
 
 class Exchange(sockets.ConnectionHandler):
-    """A request under way; :meth:`cancel` closes its connection."""
+    """One request and its response; :meth:`cancel` closes its connection."""
 
     def __init__(
         self,
@@ -35,72 +35,73 @@
         self.request = request
         self.sent = False
         self.header_fields: list[tuple[bytes, bytes]] = []
-        self._skipping = False
+        self._skipping_response = False
         self._client = client
         self._listener = listener
         self._socket: socket.socket | None = None
-        self._connection: h11.Connection | None = None
+        self._http: h11.Connection | None = None
         self._reused = False
-        self._got_bytes = False
+        self._has_response_bytes = False
         self.sent_at = client.timers.now()
-        self._deadline = client.timers.call_later(
+        self._timeout_timer = client.timers.call_later(
             request.timeout, self._time_out
         )
 
     @property
     def done(self) -> bool:
-        """Whether the exchange has ended, either way."""
+        """Whether the exchange has completed, failed or been cancelled."""
         return self._listener is None
 
     def cancel(self) -> None:
-        """Break the exchange off; the listener hears nothing more."""
+        """Abort the exchange; the listener is not called any more."""
         self._listener = None
-        self._deadline.cancel()
+        self._timeout_timer.cancel()
         waited = self._client.timers.now() - self.sent_at
         if self.is_silent and waited >= SILENT_SECONDS:
-            self._client.distrust(self)
+            self._client.close_older_idle(self)
         self._drop_connection()
 
     @property
     def is_silent(self) -> bool:
-        """Whether nothing of an answer has come on its connection."""
-        return self._socket is not None and not self._got_bytes
+        """Whether it is on a connection and no response byte has arrived."""
+        return self._socket is not None and not self._has_response_bytes
 
     def pause(self) -> None:
-        """Stop reading a paced answer."""
+        """Stop reading a paced response."""
         if self._socket is not None:
-            self._client.hub.pause(self._socket)
+            self._client.hub.stop_paced_reading(self._socket)
 
     def resume(self) -> None:
-        """Go on reading a paced answer."""
+        """Continue reading a paced response."""
         if self._socket is not None and not self.done:
             self._client.hub.unpace(self._socket)
-            self._client.hub.pace(self._socket)
+            self._client.hub.start_paced_reading(self._socket)
 
     # -- from the client ------------------------------------------------------
 
     def attach(
         self, sock: socket.socket, connection: h11.Connection, reused: bool
     ) -> "Exchange":
-        """Run on this connection."""
+        """Send the request on this connection."""
         if self.done:
             self._client.hub.shut(sock)
             return self
         self._socket = sock
-        self._connection = connection
+        self._http = connection
         self._reused = reused
         try:
-            data = http_messages.write_request(connection, self.request)
+            data = http_messages.serialize_request(connection, self.request)
         except (h11.LocalProtocolError, UnicodeEncodeError) as error:
-            # Whoever sends hears it as an end; raised here, nobody would.
+            # The hub would only log an exception that is raised here; the
+            # listener is to get it as a failure.
             text = f"bad request: {error}"
             self._client.timers.call_later(0, self._fail, text)
             return self
         self.sent = True
         self.sent_at = self._client.timers.now()
         if self.request.silent_after < math.inf:
-            self._client.pending[self] = None
-        # The hub knows this connection only after this function returns.
+            self._client.awaiting_response[self] = None
+        # The hub registers a new connection after this method returns.
         self._client.timers.call_later(0, self._transmit, data)
         return self
 
@@ -109,44 +110,44 @@
             self._client.hub.send(self._socket, data)
 
     def connect_failed(self, error: errors.TransportError) -> None:
-        """Take note that no connection could be made."""
+        """Fail because no connection could be established."""
         self._finish_with(error)
 
     # -- from the hub ---------------------------------------------------------
 
     def received(self, data: bytes) -> None:
-        """Parse what came, and tell the listener."""
-        self._got_bytes = True
-        self._client.pending.pop(self, None)
-        self._connection.receive_data(data)
+        """Parse the bytes and pass the response to the listener."""
+        self._has_response_bytes = True
+        self._client.awaiting_response.pop(self, None)
+        self._http.receive_data(data)
         self._parse()
 
     def _time_out(self) -> None:
         if self.is_silent:
-            self._client.distrust(self)
+            self._client.close_older_idle(self)
         self._fail("timeout")
 
-    def was_reset(self, is_unreachable: bool) -> None:
-        """Take note that the connection broke: no answer ends with it.
+    def broken(self, is_unreachable: bool) -> None:
+        """Handle a broken connection, which never completes a response.
 
-        The path or the other machine may be gone, so connections that are
-        kept to the same address are not used again.
+        The network path or the server's machine may have failed, so idle
+        connections to the same address are closed.
         """
         self._socket = None
         self._client.discard(self.request.address)
-        if self.done or self._retry_on_fresh():
+        if self.done or self._retry_on_new_connection():
             return
         self._fail("connection reset", is_unreachable, is_broken=True)
 
     def closed(self) -> None:
-        """Take note that the connection is gone."""
+        """Handle the end of the connection, which may end the response."""
         self._socket = None
         if self.done:
             return
-        if self._retry_on_fresh():
+        if self._retry_on_new_connection():
             return
         try:
-            self._connection.receive_data(b"")
+            self._http.receive_data(b"")
             self._parse_events()
         except h11.RemoteProtocolError:
             pass
@@ -155,9 +156,9 @@
 
     # -- own ------------------------------------------------------------------
 
-    def _retry_on_fresh(self) -> bool:
-        """Ask again if a kept connection was closed under a safe request."""
-        if not self._reused or self._got_bytes:
+    def _retry_on_new_connection(self) -> bool:
+        """Resend an idempotent request if its reused connection was closed."""
+        if not self._reused or self._has_response_bytes:
             return False
         if self.request.method not in ("GET", "HEAD", "PUT", "DELETE"):
             return False
@@ -173,49 +174,49 @@
 
     def _parse_events(self) -> None:
         while not self.done:
-            event = self._connection.next_event()
+            event = self._http.next_event()
             if event in (h11.NEED_DATA, h11.PAUSED):
                 return
             if isinstance(event, h11.Response):
-                self._take_head(event)
+                self._handle_head(event)
             elif isinstance(event, h11.Data):
-                if not self._skipping:
+                if not self._skipping_response:
                     self._listener.data(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                if self._skipping:
-                    self._await_next_answer()
+                if self._skipping_response:
+                    self._await_own_response()
                 else:
                     self._complete()
             elif isinstance(event, h11.ConnectionClosed):
                 return
 
-    def _take_head(self, event: h11.Response) -> None:
+    def _handle_head(self, event: h11.Response) -> None:
         headers = {
             name.decode("latin-1"): value.decode("latin-1")
             for name, value in event.headers
         }
         is_answer = self.request.is_answer
         if is_answer is not None and not is_answer(headers):
-            self._skipping = True
+            self._skipping_response = True
             return
         self.header_fields = event.headers.raw_items()
         self._listener.head(event.status_code, headers)
         if self.request.paced and self._socket is not None:
-            self._client.hub.pace(self._socket)
-
-    def _await_next_answer(self) -> None:
-        """Read on behind a response that answered another request."""
-        self._skipping = False
-        surplus, at_end = self._connection.trailing_data
-        self._connection = kept_connections.new_connection()
-        http_messages.write_request(self._connection, self.request)
+            self._client.hub.start_paced_reading(self._socket)
+
+    def _await_own_response(self) -> None:
+        """Parse on after a response that belonged to another request."""
+        self._skipping_response = False
+        surplus, at_end = self._http.trailing_data
+        self._http = kept_connections.new_connection()
+        http_messages.serialize_request(self._http, self.request)
         if surplus:
-            self._connection.receive_data(surplus)
+            self._http.receive_data(surplus)
 
     def _complete(self) -> None:
         listener = self._listener
         self._listener = None
-        self._deadline.cancel()
+        self._timeout_timer.cancel()
         if self.request.paced and self._socket is not None:
             self._client.hub.unpace(self._socket)
         headers = {
@@ -223,9 +224,7 @@
             for name, value in self.header_fields
         }
         sock, self._socket = self._socket, None
-        self._client.keep(
-            self.request.address, sock, self._connection, headers
-        )
+        self._client.keep_idle(self.request.address, sock, self._http, headers)
         listener.end()
 
     def _fail(
@@ -251,34 +250,35 @@
     def _drop_connection(self) -> None:
         sock = self._socket
         self._socket = None
-        self._client.pending.pop(self, None)
+        self._client.awaiting_response.pop(self, None)
         if sock is not None:
-            # The rest of a request would follow behind a closed window, and
-            # the other side begin with what nobody waits for.
-            self._client.hub.cut(sock)
+            # Unsent parts of the request are discarded: sent once the window
+            # opens, they would start work whose result is not needed.
+            self._client.hub.close_now(sock)
 
 
 class HttpClient:
-    """Sends requests, reusing connections where that is safe.
+    """Sends requests and reuses connections where that is safe.
 
     Parameters
     ==========
 
     hub : SocketHub
-        Carries the connections.
+        Opens and carries the connections.
     timers : Timers
-        For timeouts.
+        For timeouts of requests and idle connections.
     """
 
     def __init__(self, hub: sockets.SocketHub, timers: timers.Timers):
         self.hub = hub
         self.timers = timers
-        hub.shortage.reclaimers.append(self.give_up_idle)
+        hub.shortage.reclaimers.append(self.close_oldest_idle)
         self.connections_opened = 0
-        # Sent, and nothing of an answer has come.
-        self.pending: dict[Exchange, None] = {}
+        # Exchanges with ``silent_after`` that were sent and have not received
+        # a byte of a response.
+        self.awaiting_response: dict[Exchange, None] = {}
         self._idle_by_address: dict[
-            tuple, list[kept_connections.KeptConnection]
+            tuple, list[kept_connections.IdleConnection]
         ] = {}
 
     def send(
@@ -286,64 +286,68 @@
         request: http_messages.HttpRequest,
         listener: http_messages.HttpListener,
     ) -> Exchange:
-        """Send a request; the listener hears the answer or the failure."""
+        """Send a request; the listener gets the response or the failure."""
         exchange = Exchange(self, request, listener)
-        idle = self._take_idle(request)
+        idle = self._acquire_idle(request)
         if idle is not None:
-            self.hub.adopt(idle.sock, exchange)
+            self.hub.set_handler(idle.sock, exchange)
             exchange.attach(idle.sock, idle.connection, reused=True)
         else:
             self.connect(exchange)
         return exchange
 
-    def _take_idle(
+    def _acquire_idle(
         self, request: http_messages.HttpRequest
     ) -> "kept_connections.KeptConnection | None":
-        for exchange in list(self.pending):
+        for exchange in list(self.awaiting_response):
             waited = self.timers.now() - exchange.sent_at
             if waited >= exchange.request.silent_after:
-                self.distrust(exchange)
+                self.close_older_idle(exchange)
         idle = self._idle_by_address.get(request.address)
         if not idle or request.fresh:
             return None
         newest = idle[-1]
         now = self.timers.now()
-        if now > newest.until or now - newest.since > request.max_idle:
+        if (
+            now > newest.reusable_until
+            or now - newest.idle_since > request.max_idle
+        ):
             return None
         idle.pop()
         newest.expiry.cancel()
         return newest
 
     def discard(self, address: tuple[str, int]) -> None:
-        """Close the idle connections to an address that nobody uses."""
+        """Close all idle connections to an address."""
         for idle in list(self._idle_by_address.pop(address, ())):
             idle.expiry.cancel()
             self.hub.shut(idle.sock)
 
-    def give_up_idle(self) -> bool:
-        """Close the connection that nobody has used for longest, if any."""
+    def close_oldest_idle(self) -> bool:
+        """Close the connection that has been idle longest, if there is one."""
         oldest = [idle[0] for idle in self._idle_by_address.values() if idle]
         if not oldest:
             return False
-        kept = min(oldest, key=lambda item: item.since)
+        kept = min(oldest, key=lambda item: item.idle_since)
         self.hub.shut(kept.sock)
         return True
 
-    def distrust(self, silent: Exchange) -> None:
-        """Close what was idle already when an exchange without answer began.
+    def close_older_idle(self, silent: Exchange) -> None:
+        """Close connections that were idle before an unanswered request.
 
-        Open connections may all fall silent at once, without a reset, while
-        new ones work: each kept one cost another call its time-out.
+        All open connections can stop responding at once, without a reset,
+        while new ones work; each reuse of one would cost another request
+        its timeout.
         """
         address = silent.request.address
         for idle in list(self._idle_by_address.get(address, ())):
-            if idle.since <= silent.sent_at:
+            if idle.idle_since <= silent.sent_at:
                 idle.expiry.cancel()
-                self.forget(address, idle.sock)
+                self.remove_idle(address, idle.sock)
                 self.hub.shut(idle.sock)
 
     def connect(self, exchange: Exchange) -> None:
-        """Run the exchange on a new connection."""
+        """Open a new connection for the exchange."""
 
         self.connections_opened += 1
 
@@ -360,19 +364,21 @@
             exchange.connect_failed,
         )
 
-    def keep(
+    def keep_idle(
         self,
         address: tuple[str, int],
         sock: socket.socket | None,
         connection: h11.Connection,
         headers: dict[str, str],
     ) -> None:
-        """Keep a connection whose exchange is complete, if it may be."""
+        """Keep the connection of a completed exchange if it is reusable."""
         if sock is None:
             return
         idle = self._idle_by_address.setdefault(address, [])
-        seconds = kept_connections.idle_seconds(headers)
-        if len(idle) >= MAX_IDLE_PER_ADDRESS or not kept_connections.may_reuse(
+        seconds = kept_connections.max_idle_seconds(headers)
+        if len(
+            idle
+        ) >= MAX_IDLE_PER_ADDRESS or not kept_connections.is_reusable(
             connection
         ):
             seconds = 0.0
@@ -380,13 +386,13 @@
             self.hub.shut(sock)
             return
         connection.start_next_cycle()
-        kept = kept_connections.KeptConnection(
+        kept = kept_connections.IdleConnection(
             self, address, sock, connection, seconds
         )
         idle.append(kept)
-        self.hub.adopt(sock, kept)
+        self.hub.set_handler(sock, kept)
 
-    def forget(self, address, sock) -> None:
-        """Drop a kept connection that was closed."""
+    def remove_idle(self, address, sock) -> None:
+        """Remove a connection from the idle ones of its address."""
         idle = self._idle_by_address.get(address, [])
         idle[:] = [item for item in idle if item.sock is not sock]
--- a/postspring/transport/http_messages.py
+++ b/postspring/transport/http_messages.py
@@ -1,4 +1,4 @@
-"""A request to send, and what is told of its answer."""
+"""HTTP requests to send, and listeners for their responses."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -15,16 +15,16 @@
     "HttpRequest",
     "encode_fields",
     "integer_in",
-    "write_request",
+    "serialize_request",
 ]
 
-# Of a number in a header field: more than any count of seconds, tokens or
-# events has, and few enough that none takes long to read.
-MOST_DIGITS = 18
+# Longest number accepted in a header field: longer than any count of seconds,
+# tokens or events, and short enough to be parsed quickly.
+MAX_DIGITS = 18
 
 
 def integer_in(text: str) -> int | None:
-    """Return the number that a header field holds; None if it holds none.
+    """Return a header field's value as a non-negative integer, or None.
 
     Examples
     --------
@@ -33,34 +33,35 @@
     >>> integer_in("9" * 99)
     """
     is_number = text.isascii() and text.isdigit()
-    return int(text) if is_number and len(text) <= MOST_DIGITS else None
+    return int(text) if is_number and len(text) <= MAX_DIGITS else None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """One request; times in seconds.
+    """An HTTP request to send; times are in seconds.
 
     Parameters
     ==========
 
     address : tuple of (str, int)
-        IP number and port.
+        IP address and port.
     timeout : float
-        For the whole exchange.
+        Limit for the whole exchange.
     fresh : bool
-        Never reuse a connection: if a reused one breaks, nobody can tell
-        whether the request ran.
+        Send on a new connection: if a reused one breaks, it is unknown
+        whether the request was executed.
     paced : bool
-        Read the answer at intervals, for streams of many small chunks.
+        Read the response at intervals, for streams of many small chunks.
     max_idle : float
-        Reuse only a connection that was idle for less than this.
+        Reuse only a connection that has been idle for at most this long.
     silent_after : float
-        Without a byte of an answer for this long, connections to the same
-        address that were idle since before are not used for others.
+        If no byte of a response has arrived after this time, connections
+        to the same address that were idle before this request was sent are
+        closed instead of reused.
     is_answer : callable, optional
-        Told the headers of a response (names in lower case); returns
-        whether it answers this request.  A response that does not is
-        skipped: it is a late one to an earlier request.
+        Takes the headers of a response (names in lower case) and returns
+        whether the response belongs to this request.  Any other response
+        is skipped as a late one to an earlier request.
     """
 
     address: tuple[str, int]
@@ -78,7 +79,7 @@
 
     @property
     def fields(self) -> list[tuple[str, str]]:
-        """The header fields to send, with Host and Content-Length."""
+        """Header fields to send, including Host and Content-Length."""
         names = {name.lower() for name, value in self.headers}
         fields = list(self.headers)
         if "host" not in names:
@@ -92,14 +93,14 @@
 def encode_fields(
     fields: Iterable[tuple[str | bytes, str | bytes]],
 ) -> list[tuple[bytes, bytes]]:
-    """Return header fields as the bytes that were read as this text.
+    """Encode header fields in Latin-1, in which they were decoded.
 
-    HTTP allows bytes above 127 in values; h11 takes text for ASCII.
+    HTTP allows bytes above 127 in values, but h11 encodes text as ASCII.
 
     Raises
     ------
     UnicodeEncodeError
-        If a character is none of HTTP's bytes.
+        If a character is not in Latin-1.
 
     Examples
     --------
@@ -113,8 +114,10 @@
     return text.encode("latin-1") if isinstance(text, str) else text
 
 
-def write_request(connection: h11.Connection, request: HttpRequest) -> bytes:
-    """Return a request's bytes, and note them as sent on its connection."""
+def serialize_request(
+    connection: h11.Connection, request: HttpRequest
+) -> bytes:
+    """Return a request's bytes and advance the state of ``connection``."""
     event = h11.Request(
         method=request.method,
         target=request.path,
@@ -127,31 +130,33 @@
 
 
 class HttpListener:
-    """What the user of an exchange implements."""
+    """Receives the response of one exchange; subclasses override."""
 
     def head(self, status: int, headers: dict[str, str]) -> None:
-        """Take the status and the headers, names in lower case."""
+        """Handle the status and the headers, with names in lower case."""
 
     def data(self, chunk: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a part of the body."""
 
     def end(self) -> None:
-        """Take note that the body is complete."""
+        """Handle the end of a complete body."""
 
     def failed(self, error: errors.TransportError) -> None:
-        """Take note that the exchange broke; nothing else follows."""
+        """Handle the failure of the exchange; no other call follows."""
 
 
 class AnswerCollector(HttpListener):
-    """Collects a whole answer, for calls whose answers are small.
+    """Buffers a response and passes it on when it is complete.
+
+    It suits small responses only: the whole body is kept in memory.
 
     Parameters
     ==========
 
     on_answer : callable
-        Called with the status and the whole body.
+        Called with the status and the complete body.
     on_failed : callable
-        Called with the error if no answer came.
+        Called with the error if no complete response arrived.
     """
 
     def __init__(
@@ -159,23 +164,23 @@
         on_answer: Callable[[int, bytes], None],
         on_failed: Callable[[errors.TransportError], None],
     ):
-        self._on_answer = on_answer
+        self._on_response = on_answer
         self._on_failed = on_failed
         self._status = 0
         self._body = bytearray()
 
     def head(self, status: int, headers: dict[str, str]) -> None:
-        """Keep the status."""
+        """Store the status."""
         self._status = status
 
     def data(self, chunk: bytes) -> None:
-        """Keep a part of the body."""
+        """Append a part of the body."""
         self._body += chunk
 
     def end(self) -> None:
-        """Hand the answer over."""
-        self._on_answer(self._status, bytes(self._body))
+        """Pass the complete response on."""
+        self._on_response(self._status, bytes(self._body))
 
     def failed(self, error: errors.TransportError) -> None:
-        """Hand the error over."""
+        """Pass the error on."""
         self._on_failed(error)
--- a/postspring/transport/http_server.py
+++ b/postspring/transport/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server side: accepts, and hands each request on."""
+"""HTTP/1.1 server: accepts connections and dispatches their requests."""
 
 from collections.abc import Callable
 import logging
@@ -13,32 +13,37 @@
 
 LOG = logging.getLogger(__name__)
 
-# How often connections are checked for being idle or too slow, in seconds.
-SWEEP_SECONDS = 0.5
-# A connection that has been idle for this long may be given up for another
-# caller, in seconds; one that was just opened is about to send its request.
-SPARE_SECONDS = 1.0
+# Interval between checks for idle and slow connections.
+SWEEP_INTERVAL_SECONDS = 0.5
+# An idle connection may be closed in favour of another caller after this long;
+# one that was just opened is about to send its request.
+MIN_RECLAIM_IDLE_SECONDS = 1.0
 
 
 class HttpServer:
-    """Accepts connections and hands each request to an application.
+    """Accepts connections and passes each request to an application.
 
     Parameters
     ==========
 
-    hub : SocketHub
-        A hub that listens; its ``on_accept`` has to be :meth:`accept`.
     timers : Timers
-        For sweeping out idle and slow connections.
+        For closing idle and slow connections.
     application : callable
         Called with each :class:`~.incoming.IncomingCall`.
     limits : incoming.ServerLimits
-        Bounds, read at each use.
+        Read at each use, so that changes take effect at once.
     on_refused : callable, optional
-        Called with the status of each request that could not be read.
+        Called with the status of each request that could not be read, and
+        with 503 for each connection above the limit.
     on_cut : callable, optional
         Called with a :class:`~.incoming.Cut` for each connection that ends
-        with a request open or with unsent bytes.
+        while a response is incomplete or partly unsent.
+
+    Attributes
+    ==========
+
+    hub : SocketHub or None
+        Carries the connections; created by :meth:`listen`.
     """
 
     def __init__(
@@ -46,37 +51,37 @@
         timers: timers_module.Timers,
         application: Callable[[incoming.IncomingCall], None],
         limits: incoming.ServerLimits,
-        on_refused: Callable[[int], None] = lambda status: None,
-        on_cut: Callable[[incoming.Cut], None] = lambda cut: None,
+        on_rejected: Callable[[int], None] = lambda status: None,
+        on_interrupted: Callable[[incoming.Cut], None] = lambda cut: None,
     ):
         self.hub: sockets.SocketHub | None = None
         self.timers = timers
         self.limits = limits
         self.closing = False
         self._application = application
-        self._on_refused = on_refused
-        self._on_cut = on_cut
+        self._on_rejected = on_rejected
+        self._on_interrupted = on_interrupted
         self._connections: dict[server_connection.ServerConnection, None] = {}
 
     def listen(
         self, parent, bind: tuple[str, int], channel: str = "http-server"
     ) -> None:
-        """Listen on an IP number and port, on the parent's loop."""
+        """Listen on an IP address and port, on the parent's event loop."""
         self.hub = sockets.SocketHub(
             self.timers, bind, self.accept, channel=channel
         ).register(parent)
         self.hub.has_room = self._has_room
-        self.hub.shortage.reclaimers.append(self._give_up_idle)
-        self.timers.call_every(SWEEP_SECONDS, self._sweep)
+        self.hub.shortage.reclaimers.append(self._close_oldest_idle)
+        self.timers.call_every(SWEEP_INTERVAL_SECONDS, self._sweep)
 
     @property
     def address(self) -> tuple[str, int]:
-        """The IP number and port that it listens on."""
+        """IP address and port of the listener."""
         return self.hub.host, self.hub.port
 
     @property
     def active(self) -> int:
-        """Number of requests that are not answered yet."""
+        """Number of requests whose response is not complete."""
         return sum(1 for item in self._connections if item.call is not None)
 
     @property
@@ -86,89 +91,93 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of answers that callers have not taken yet."""
+        """Number of response bytes that wait in buffers of this process."""
         return self.hub.all_unsent_bytes
 
     @property
     def unread_count(self) -> int:
-        """Number of connections of which the kernel holds bytes."""
+        """Number of connections with unread bytes in the kernel."""
         return self.hub.unread_count
 
     def accept(
         self, sock: socket.socket
     ) -> server_connection.ServerConnection | None:
-        """Take a new connection, or refuse it if there are too many."""
+        """Create the handler of a new connection, or None at the limit."""
         if len(self._connections) >= self.limits.connections:
-            self._on_refused(503)
+            self._on_rejected(503)
             return None
         connection = server_connection.ServerConnection(self, sock)
         self._connections[connection] = None
         return connection
 
-    def forget(self, connection: server_connection.ServerConnection) -> None:
-        """Drop a connection that is gone."""
+    def remove_connection(
+        self, connection: server_connection.ServerConnection
+    ) -> None:
+        """Remove a closed connection."""
         self._connections.pop(connection, None)
 
-    def count_refusal(self, status: int) -> None:
-        """Report a request that could not be read."""
-        self._on_refused(status)
+    def report_rejected(self, status: int) -> None:
+        """Report a request that could not be read, with its status."""
+        self._on_rejected(status)
 
     def dispatch(self, call: incoming.IncomingCall) -> None:
-        """Hand a request to the application."""
+        """Pass a request to the application; answer 500 if that raises."""
         try:
             self._application(call)
         except Exception:
-            LOG.exception("a request's handler failed")
+            LOG.exception("request handler raised an exception")
             call.respond(500, [])
 
-    def report_cut(
+    def report_interrupted(
         self,
         ended_by: incoming.EndedBy,
         call: incoming.IncomingCall | None,
         unsent: int = 0,
     ) -> None:
-        """Report a connection that ends with something owed."""
+        """Report a connection that ended with an incomplete response."""
         seconds = 0.0
         if call is not None:
             seconds = self.timers.now() - call.received_at
-        self._on_cut(incoming.Cut(ended_by, call, unsent, seconds))
+        self._on_interrupted(incoming.Cut(ended_by, call, unsent, seconds))
 
     def close_idle(self) -> None:
-        """Close the connections on which no request has begun."""
+        """Close the connections that have no open or incoming request."""
         for connection in list(self._connections):
             connection.close_if_idle()
 
     def give_up(self) -> None:
-        """Have every request answered now, whatever it waits for."""
-        self.hub.accept_now()
+        """Complete open requests now, and reject partly received ones."""
+        self.hub.accept_pending()
         for connection in list(self._connections):
             connection.give_up()
 
     def close_all(self) -> None:
-        """Close every connection, whatever is owed."""
+        """Close every connection and discard unsent bytes."""
         for connection in list(self._connections):
             connection.close()
 
     def refuse_new(self) -> None:
-        """Accept what waits and no more; open connections go on."""
-        self.hub.accept_now()
+        """Accept the waiting connections, then close the listener."""
+        self.hub.accept_pending()
         self.hub.refuse_new()
 
     def _has_room(self) -> bool:
         bound = self.limits.connections
-        return len(self._connections) < bound or self._give_up_idle()
+        return len(self._connections) < bound or self._close_oldest_idle()
 
-    def _give_up_idle(self) -> bool:
-        """Close the connection that was idle for longest; tell if it is."""
-        latest = self.timers.now() - SPARE_SECONDS
+    def _close_oldest_idle(self) -> bool:
+        """Close the longest idle connection; return whether it was closed."""
+        latest = self.timers.now() - MIN_RECLAIM_IDLE_SECONDS
         idle = [
             item
             for item in self._connections
-            if item.call is None and not item.receiving and item.since < latest
+            if item.call is None
+            and not item.is_receiving
+            and item.state_since < latest
         ]
         if not idle:
             return False
-        oldest = min(idle, key=lambda item: item.since)
+        oldest = min(idle, key=lambda item: item.state_since)
         oldest.close_if_idle()
         return oldest not in self._connections
 
--- a/postspring/transport/incoming.py
+++ b/postspring/transport/incoming.py
@@ -1,4 +1,4 @@
-"""A caller's request and the answer to it, and what callers may send."""
+"""Requests that callers send, their responses, and limits for both."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -10,11 +10,11 @@
 from postspring.transport import files
 
 __all__ = [
-    "AnswerSender",
     "Cut",
     "EndedBy",
     "Fields",
     "IncomingCall",
+    "ResponseSender",
     "ServerLimits",
 ]
 
@@ -26,13 +26,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ServerLimits:
-    """What a caller may send; sizes in bytes, times in seconds.
+    """Limits for callers; sizes are in bytes, times in seconds.
 
     Explanation
     ===========
 
-    A server reads the current values at each use, so a new configuration
-    is in force at once.  ``body_seconds`` bounds a body that comes slowly.
+    A server reads the values at each use, so a new configuration takes
+    effect at once.  ``body_seconds`` limits the time from the start of a
+    request to the end of its body.
     """
 
     header_bytes: int = 16 * 1024
@@ -41,17 +42,17 @@
     body_seconds: float = 30.0
     idle_seconds: float = 60.0
     connections: int = dataclasses.field(
-        default_factory=files.connection_bound
+        default_factory=files.connection_limit
     )
 
     @classmethod
-    def within(cls, most_files: int) -> "ServerLimits":
-        """Return limits for a process that may open so many files."""
-        return cls(connections=files.connection_bound(most_files))
+    def within(cls, max_files: int) -> "ServerLimits":
+        """Return limits for a process that may open ``max_files`` files."""
+        return cls(connections=files.connection_limit(max_files))
 
 
 class EndedBy(enum.Enum):
-    """Who ended a connection on which something was owed."""
+    """Which side ended a connection with an incomplete response."""
 
     CALLER = "caller"
     VM = "vm"
@@ -60,17 +61,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cut:
-    """The end of a connection on which something was owed.
+    """The end of a connection while a response was incomplete or unsent.
 
     Parameters
     ==========
 
     call : IncomingCall or None
-        The request that was open, or whose answer had not wholly left.
+        The request that was open, or whose response was partly unsent.
     unsent : int
-        Bytes of its answer that were still here.
+        Response bytes that were still buffered in this process.
     seconds : float
-        Since the request's last byte.
+        Time since the last byte of the request arrived.
     """
 
     ended_by: EndedBy
@@ -79,41 +80,41 @@
     seconds: float
 
 
-class AnswerSender(Protocol):
-    """The connection that a request came on."""
+class ResponseSender(Protocol):
+    """The connection that a request arrived on."""
 
     def send_answer(self, status: int, fields: list, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
 
     def send_head(self, status: int, fields: list) -> None:
-        """Begin an answer."""
+        """Send the status and header fields of a response."""
 
     def send_data(self, data: bytes) -> None:
-        """Send a part of an answer's body."""
+        """Send a part of a response's body."""
 
     def send_end(self) -> None:
-        """Complete an answer."""
+        """Mark the response as complete."""
 
     def abort(self) -> None:
-        """Close at once, without completing the answer."""
+        """Close the connection without completing the response."""
 
 
 class IncomingCall:
-    """A request and the answer to it, which may come at any later time.
+    """A request; its response may be sent at any later time.
 
     Explanation
     ===========
 
-    Answer with :meth:`respond`, or with :meth:`start`, :meth:`send` and
-    :meth:`finish`.  :meth:`abort` closes the connection, so that an answer
-    that ends early does not look complete.  When the caller is gone,
-    answers go nowhere and ``on_gone`` was called.
+    Send the response with :meth:`respond`, or with :meth:`start`,
+    :meth:`send` and :meth:`finish`.  :meth:`abort` closes the connection, so
+    that a truncated response does not look complete.  When the caller has
+    disconnected, ``on_gone`` is called and responses are discarded.
 
     Parameters
     ==========
 
     fields : list of (str, str)
-        Header fields in the caller's order and case.
+        Header fields in the order and case in which they were sent.
     received_at : float
         Monotonic time of the request's last byte, in seconds.
 
@@ -121,14 +122,16 @@
     ==========
 
     close_after : bool
-        The answer ends the connection: the caller is to make a new one.
+        Whether the connection is closed after the response, so that the
+        caller opens a new one.
     on_out_of_time : callable or None
-        Called when this VM is about to end: the final answer is due now.
+        Called when this VM is about to stop: it has to send the final
+        response now.
     """
 
     def __init__(
         self,
-        connection: AnswerSender,
+        connection: ResponseSender,
         method: str,
         target: str,
         fields: list[tuple[str, str]],
@@ -151,11 +154,11 @@
             self._value_by_name.setdefault(name.lower(), value)
 
     def header(self, name: str, default: str = "") -> str:
-        """Return the first value of a header field, in any case."""
+        """Return the first value of a header field; case is ignored."""
         return self._value_by_name.get(name.lower(), default)
 
     def respond(self, status: int, fields: Fields, body: bytes = b"") -> None:
-        """Give a whole answer."""
+        """Send a complete response."""
         if self.answered or self.gone:
             return
         self.answered = True
@@ -163,27 +166,28 @@
         self._connection.send_answer(status, [*fields, length], body)
 
     def start(self, status: int, fields: Fields) -> None:
-        """Begin an answer whose length is not known."""
+        """Start a response of unknown length."""
         if self.answered or self.gone:
             return
         self.answered = True
         self._connection.send_head(status, list(fields))
 
     def send(self, data: bytes) -> None:
-        """Send a part of a started answer."""
+        """Send a part of the body of a started response."""
         if not self.gone and data:
             self._connection.send_data(data)
 
     def finish(self) -> None:
-        """End a started answer as complete."""
+        """Complete a started response."""
         if not self.gone:
             self._connection.send_end()
 
-    def run_out(self) -> None:
-        """Have the final answer given, or break off what has begun.
+    def end_for_shutdown(self) -> None:
+        """Send the final response, or abort one that has started.
 
-        Whoever knows whether the request has run says so; of another one
-        nothing is promised.
+        ``on_out_of_time`` can state in its response whether the request was
+        executed.  Without it, the caller gets a plain 502, which states
+        nothing about that.
         """
         was_answered = self.answered
         is_broken_off = was_answered and self.on_out_of_time is None
@@ -191,15 +195,15 @@
             if self.on_out_of_time is not None:
                 self.on_out_of_time()
         except Exception:
-            # Others have their end only after this one.
-            LOG.exception("a call's end failed")
+            # The remaining calls must still be completed.
+            LOG.exception("completing a call at shutdown failed")
             is_broken_off = was_answered
         if is_broken_off:
             self.abort()
         self.respond(BAD_GATEWAY, [])
 
     def abort(self) -> None:
-        """Close the connection without completing the answer."""
+        """Close the connection without completing the response."""
         self.answered = True
         if not self.gone:
             self._connection.abort()
--- a/postspring/transport/kept_connections.py
+++ b/postspring/transport/kept_connections.py
@@ -1,53 +1,58 @@
-"""Connections that are kept for the next request."""
+"""Idle client connections that are kept for reuse."""
 
 import h11
 
 from postspring.transport import http_messages
 from postspring.transport import sockets
 
-__all__ = ["KeptConnection", "idle_seconds", "may_reuse", "new_connection"]
+__all__ = [
+    "IdleConnection",
+    "is_reusable",
+    "max_idle_seconds",
+    "new_connection",
+]
 
 IDLE_SECONDS = 30.0
-# A server that says "Keep-Alive: timeout=N" counts whole seconds; we close
-# this much earlier, so that no request crosses its close.
+# A server that sends "Keep-Alive: timeout=N" closes after N whole seconds;
+# the client closes this much earlier, so that no request meets that close.
 KEEP_ALIVE_MARGIN_SECONDS = 0.5
 MAX_HEADER_BYTES = 16 * 1024
 
 
-class KeptConnection(sockets.ConnectionHandler):
-    """A kept connection: whatever it says, it is not used again."""
+class IdleConnection(sockets.ConnectionHandler):
+    """Handler of an idle connection; any event makes it unusable."""
 
     def __init__(self, client, address, sock, connection, seconds):
         self.sock = sock
         self.connection = connection
-        self.since = client.timers.now()
-        # Looked at before each use: after a pause of this process the timer
-        # is late, and the other side has closed it.
-        self.until = self.since + seconds
+        self.idle_since = client.timers.now()
+        # Checked before reuse as well: after a pause of this process the
+        # expiry timer is late, and the server has closed the connection.
+        self.reusable_until = self.idle_since + seconds
         self.expiry = client.timers.call_later(seconds, client.hub.shut, sock)
         self._client = client
         self._address = address
 
     def received(self, data: bytes) -> None:
-        """Close: the other side may not speak now."""
-        self._client.forget(self._address, self.sock)
+        """Close: no response is outstanding, so these bytes are invalid."""
+        self._client.remove_idle(self._address, self.sock)
         self._client.hub.shut(self.sock)
 
     def closed(self) -> None:
-        """Forget the connection."""
+        """Remove the connection from the client's idle ones."""
         self.expiry.cancel()
-        self._client.forget(self._address, self.sock)
+        self._client.remove_idle(self._address, self.sock)
 
 
 def new_connection() -> h11.Connection:
-    """Return the state of a connection that was just opened."""
+    """Return the HTTP protocol state of a newly opened connection."""
     return h11.Connection(
         our_role=h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES
     )
 
 
-def may_reuse(connection: h11.Connection) -> bool:
-    """Both sides are done, and nothing follows the answer."""
+def is_reusable(connection: h11.Connection) -> bool:
+    """Return whether both sides are done and no data follows the response."""
     surplus, closed = connection.trailing_data
     return (
         connection.our_state is h11.DONE
@@ -57,16 +62,16 @@
     )
 
 
-def idle_seconds(headers: dict[str, str]) -> float:
+def max_idle_seconds(headers: dict[str, str]) -> float:
     """Return how long the connection may be kept idle, in seconds.
 
-    A timeout that is no number says nothing; one with many digits is longer
-    than any connection is kept.
+    A Keep-Alive timeout that is not a number, or has too many digits to be
+    parsed, is ignored.
 
     Examples
     --------
     >>> [
-    ...     idle_seconds({"keep-alive": f"timeout={text}"})
+    ...     max_idle_seconds({"keep-alive": f"timeout={text}"})
     ...     for text in ("2", "\\xb2", "9" * 5000)
     ... ]
     [1.5, 30.0, 30.0]
--- a/postspring/transport/lingering.py
+++ b/postspring/transport/lingering.py
@@ -1,4 +1,4 @@
-"""A connection on which all is said, until the other side has it."""
+"""Lingering close: discard input until the peer has read the response."""
 
 import socket
 
@@ -6,29 +6,31 @@
 from postspring.transport import sockets
 from postspring.transport import timers as timers_module
 
-__all__ = ["Lingering"]
+__all__ = ["LingeringClose"]
 
-# How long the other side may go on sending what nobody reads, in seconds:
-# time for the answer to reach a caller that is busy sending, on a link
-# that holds packets up for half a second.
+# How long input of the peer is discarded before the close, in seconds: time
+# for the response to reach a caller that is still sending, on a link that
+# delays packets by half a second.
 LINGER_SECONDS = 2.0
 
 
-class Lingering(connection_handler.ConnectionHandler):
-    """Discards what comes, so that closing does not reset the connection.
+class LingeringClose(connection_handler.ConnectionHandler):
+    """Discards input, so that closing does not reset the connection.
 
     Explanation
     ===========
 
-    Closing with unread bytes sends a reset, and a reset destroys what the
-    other side has not read yet of the answer.  So we say that nothing more
-    follows, and close when the other side has closed, or after a while.
+    Closing a socket with unread bytes sends a reset, and a reset destroys
+    the part of the response that the peer has not read yet.  So the sending
+    side is shut down first, and the connection is closed when the peer has
+    closed it, or after ``LINGER_SECONDS``.
 
     Parameters
     ==========
 
     before : ConnectionHandler
-        Who had the connection; it is told of its end.
+        Handler that had the connection; its callbacks for the end of the
+        connection are still called.
     """
 
     def __init__(
@@ -36,29 +38,29 @@
         hub: sockets.SocketHub,
         timers: timers_module.Timers,
         sock: socket.socket,
-        before: connection_handler.ConnectionHandler,
+        previous_handler: connection_handler.ConnectionHandler,
     ):
         self._hub = hub
         self._sock = sock
-        self._before = before
+        self._previous_handler = previous_handler
         self._timer = timers.call_later(LINGER_SECONDS, self._close)
-        hub.adopt(sock, self)
-        hub.end_sending(sock)
+        hub.set_handler(sock, self)
+        hub.shutdown_sending(sock)
 
     @property
-    def is_answered(self) -> bool:
-        """Whether only bytes that wait to be sent are owed."""
+    def flushes_on_eof(self) -> bool:
+        """Whether buffered bytes are still sent after the peer's EOF."""
         return True
 
-    def left_unsent(self, unsent: int) -> None:
-        """Pass it on."""
-        self._before.left_unsent(unsent)
+    def unsent_discarded(self, unsent: int) -> None:
+        """Pass the event to the previous handler."""
+        self._previous_handler.unsent_discarded(unsent)
 
     def closed(self) -> None:
-        """Pass the end on."""
+        """Pass the event to the previous handler."""
         self._timer.cancel()
-        self._before.closed()
+        self._previous_handler.closed()
 
     def _close(self) -> None:
-        """Close once the answer has left."""
+        """Close once the response has been sent."""
         self._hub.shut(self._sock)
--- a/postspring/transport/opening.py
+++ b/postspring/transport/opening.py
@@ -1,4 +1,4 @@
-"""Opening connections on circuits' server of sockets."""
+"""Outgoing connections on circuits' ``TCPServer``."""
 
 from collections.abc import Callable
 import errno
@@ -15,20 +15,20 @@
 from postspring.transport import timers as timers_module
 from postspring.transport import windows
 
-__all__ = ["OpeningHub", "tell"]
+__all__ = ["ConnectingHub", "call_safely"]
 
 LOG = logging.getLogger(__name__)
 
 
-class OpeningHub(sockets.TCPServer):
-    """A server of sockets that also opens connections.
+class ConnectingHub(sockets.TCPServer):
+    """A TCP server that also opens connections.
 
     Attributes
     ==========
 
-    shortage : Shortage
-        What is done when no file is left; users of connections that they
-        can do without add themselves.
+    shortage : ConnectionShortage
+        Frees a descriptor when none is left; owners of idle connections
+        add their callables to its ``reclaimers``.
     """
 
     def __init__(self, timers: timers_module.Timers, bind, **options):
@@ -36,9 +36,11 @@
         self._handler_by_socket: dict[
             socket.socket, connection_handler.ConnectionHandler
         ] = {}
-        self._connecting: dict[socket.socket, connecting.Connecting] = {}
-        self._windows = windows.WindowWatch(timers)
-        self.shortage = files.Shortage(timers)
+        self._connecting: dict[
+            socket.socket, connecting.PendingConnection
+        ] = {}
+        self._send_windows = windows.SendWindowMonitor(timers)
+        self.shortage = files.ConnectionShortage(timers)
         super().__init__(bind, **options)
 
     def open(
@@ -50,92 +52,101 @@
         ],
         on_error: Callable[[errors.TransportError], None],
     ) -> None:
-        """Open a connection; exactly one of the two functions is called.
+        """Open a connection and report success or failure to its owner.
 
         Parameters
         ----------
         address
-            IP number and port.
+            IP address and port.
         timeout : float
-            Seconds after which to give up.
-        on_open, on_error
-            Called with the socket, and with a TransportError that says
-            ``sent=False``.
+            Limit for establishing the connection, in seconds.
+        on_open
+            Called with the connected socket; returns its handler.
+        on_error
+            Called with a TransportError that has ``sent=False`` if the
+            connection could not be opened, or if ``on_open`` raised.
         """
         try:
-            sock = self._begin_to_open(address)
+            sock = self._start_connect(address)
         except (OSError, OverflowError) as error:
-            # No file is left, or the address is none.
-            text = connecting.name_of(error)
-            failure = connecting.connect_error(address, text)
+            # No descriptor is free, or the address is invalid.
+            reason = connecting.error_name(error)
+            failure = connecting.connect_error(address, reason)
             self._timers.call_later(0, on_error, failure)
             return
-        deadline = self._timers.call_later(timeout, self._timed_out, sock)
-        self._connecting[sock] = connecting.Connecting(
+        deadline = self._timers.call_later(
+            timeout, self._connect_timed_out, sock
+        )
+        self._connecting[sock] = connecting.PendingConnection(
             address, on_open, on_error, deadline
         )
         self._poller.addWriter(self, sock)
 
     # -- own ------------------------------------------------------------------
 
-    def _opened(self, sock: socket.socket) -> None:
-        """Hand a connection over, or tell why it did not open."""
+    def _finish_connect(self, sock: socket.socket) -> None:
+        """Pass the connection to its owner, or report why it failed."""
         code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
             self._connect_failed(sock, errno.errorcode.get(code, str(code)))
             return
         self._poller.removeWriter(sock)
-        opening = self._connecting.pop(sock)
-        opening.deadline.cancel()
+        pending = self._connecting.pop(sock)
+        pending.deadline.cancel()
         self._clients.append(sock)
-        user = tell(opening.on_open, sock)
-        if user is None:
+        new_handler = call_safely(pending.on_open, sock)
+        if new_handler is None:
             self._close(sock)
-            text = "its user failed"
-            failure = connecting.connect_error(opening.address, text)
-            tell(opening.on_error, failure)
+            reason = "its user failed"
+            failure = connecting.connect_error(pending.address, reason)
+            call_safely(pending.on_error, failure)
         elif sock in self._clients:
-            self._handler_by_socket[sock] = user
+            self._handler_by_socket[sock] = new_handler
             self._poller.addReader(self, sock)
 
-    def _begin_to_open(self, address: tuple[str, int]) -> socket.socket:
+    def _start_connect(self, address: tuple[str, int]) -> socket.socket:
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
-            if not self.shortage.relieve(error):
+            if not self.shortage.close_idle_connection(error):
                 raise
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._windows.bind(sock)
+            self._send_windows.set_ack_timeout(sock)
             code = sock.connect_ex(address)
             if code not in (0, errno.EINPROGRESS):
                 raise OSError(code, os.strerror(code))
         except (OSError, OverflowError):
-            self._windows.forget(sock)
+            self._send_windows.remove(sock)
             sock.close()
             raise
         return sock
 
-    def _timed_out(self, sock: socket.socket) -> None:
+    def _connect_timed_out(self, sock: socket.socket) -> None:
         if sock in self._connecting:
             self._connect_failed(sock, "timeout")
 
-    def _connect_failed(self, sock: socket.socket, text: str) -> None:
-        opening = self._connecting.pop(sock)
-        opening.deadline.cancel()
+    def _connect_failed(self, sock: socket.socket, reason: str) -> None:
+        pending = self._connecting.pop(sock)
+        pending.deadline.cancel()
         self._poller.discard(sock)
         self._buffers.pop(sock, None)
-        self._windows.forget(sock)
+        self._send_windows.remove(sock)
         sock.close()
-        tell(opening.on_error, connecting.connect_error(opening.address, text))
+        call_safely(
+            pending.on_error, connecting.connect_error(pending.address, reason)
+        )
 
 
-def tell(function: Callable, *arguments):
-    """Call a user of the hub; what it raises must end no other's work."""
+def call_safely(function: Callable, *arguments):
+    """Call a callback of a connection's owner; log and drop exceptions.
+
+    An exception of one owner must not affect other connections.
+    """
     try:
         return function(*arguments)
     except Exception:
-        LOG.exception("a connection's user failed")
+        LOG.exception("connection callback raised an exception")
         return None
--- a/postspring/transport/server_connection.py
+++ b/postspring/transport/server_connection.py
@@ -1,8 +1,8 @@
 """One connection of a caller: h11 on the hub's connections.
 
-``circuits.web`` decodes paths, joins header lines and answers in its own
-words; a call that is to reach an upstream unchanged needs the bytes as they
-came.  h11, which the client side uses already, is its nearest kin.
+``circuits.web`` decodes paths, joins header lines and generates responses of
+its own; a call that is forwarded to an upstream unchanged needs the bytes as
+they arrived.  So h11 is used, as in the client.
 """
 
 import logging
@@ -22,41 +22,53 @@
 
 LOG = logging.getLogger(__name__)
 
-_UNWRITABLE = (h11.LocalProtocolError, UnicodeEncodeError)
+_ENCODING_ERRORS = (h11.LocalProtocolError, UnicodeEncodeError)
 
-# Whoever opens a connection sends its request at once; until then a new
-# connection is not idle.  In seconds, above a round trip to a busy machine.
-NEW_SECONDS = 0.5
+# A new connection does not count as idle for this long, in seconds: callers
+# send the first request at once.  Above a round trip to a busy machine.
+FIRST_REQUEST_SECONDS = 0.5
 
 
 class Server(Protocol):
-    """What a connection asks of its server."""
+    """Interface of a connection to its server."""
 
     hub: sockets.SocketHub
     timers: timers_module.Timers
     limits: incoming.ServerLimits
     closing: bool
 
-    def count_refusal(self, status: int) -> None:
-        """Report a request that could not be read."""
+    def report_rejected(self, status: int) -> None:
+        """Report a request that could not be read, with its status."""
 
     def dispatch(self, call: incoming.IncomingCall) -> None:
-        """Hand a request to the application."""
+        """Pass a request to the application."""
 
-    def forget(self, connection: "ServerConnection") -> None:
-        """Drop a connection that is gone."""
+    def remove_connection(self, connection: "ServerConnection") -> None:
+        """Remove a closed connection."""
 
-    def report_cut(
+    def report_interrupted(
         self,
         ended_by: incoming.EndedBy,
         call: incoming.IncomingCall | None,
         unsent: int = 0,
     ) -> None:
-        """Report a connection that ends with something owed."""
+        """Report a connection that ended with an incomplete response."""
 
 
 class ServerConnection(connection_handler.ConnectionHandler):
-    """One caller's connection: requests one after another."""
+    """A caller's connection, on which requests follow one another.
+
+    Attributes
+    ==========
+
+    call : IncomingCall or None
+        The request whose response is not complete.
+    is_receiving : bool
+        Whether a request has been received in part.
+    state_since : float
+        Monotonic time at which the request in progress began to arrive, or
+        at which the connection became idle, in seconds.
+    """
 
     def __init__(self, server: Server, sock: socket.socket):
         self._server = server
@@ -69,199 +81,202 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self.call: incoming.IncomingCall | None = None
-        self.since = server.timers.now()
-        self.receiving = False
-        self._is_new = True
-        self._is_over = False
-        # The call whose answer had not wholly left when it was last seen.
-        self._owed_call: incoming.IncomingCall | None = None
-        self._unsent = 0
-        self._is_cut = False
+        self.state_since = server.timers.now()
+        self.is_receiving = False
+        self._awaits_first_request = True
+        self._is_closing = False
+        # The call whose response was not sent completely when last checked.
+        self._incomplete_call: incoming.IncomingCall | None = None
+        self._unsent_bytes = 0
+        self._is_interrupted = False
         self._ended_by = incoming.EndedBy.CALLER
 
     # -- from the hub ---------------------------------------------------------
 
     def received(self, data: bytes) -> None:
-        """Parse what came."""
-        if self._is_over:
+        """Parse received bytes."""
+        if self._is_closing:
             return
-        if self.call is None and not self.receiving:
-            self.receiving = True
-            self.since = self._server.timers.now()
+        if self.call is None and not self.is_receiving:
+            self.is_receiving = True
+            self.state_since = self._server.timers.now()
         self._http.receive_data(data)
         limits = self._server.limits
         ahead, at_end = self._http.trailing_data
         if len(ahead) > limits.body_bytes + limits.header_bytes:
-            self._refuse(413)
+            self._reject(413)
             return
-        self._resume()
+        self._parse_received()
 
     def closed(self) -> None:
-        """Take note that the caller is gone."""
-        self._server.forget(self)
-        self._leave_call()
-        if self._is_cut or self._unsent:
-            self._server.report_cut(
-                self._ended_by, self._owed_call, self._unsent
+        """Handle the end of the connection; report an incomplete response."""
+        self._server.remove_connection(self)
+        self._disconnect_call()
+        if self._is_interrupted or self._unsent_bytes:
+            self._server.report_interrupted(
+                self._ended_by, self._incomplete_call, self._unsent_bytes
             )
 
-    def was_reset(self, is_unreachable: bool) -> None:
-        """Take note that the connection broke."""
+    def broken(self, is_unreachable: bool) -> None:
+        """Handle a broken connection."""
         self._ended_by = incoming.EndedBy.ERROR
         self.closed()
 
-    def left_unsent(self, unsent: int) -> None:
-        """Take note that the end of an answer is lost."""
-        self._unsent = unsent
+    def unsent_discarded(self, unsent: int) -> None:
+        """Record how many bytes of a response were discarded."""
+        self._unsent_bytes = unsent
 
     @property
-    def is_answered(self) -> bool:
-        """Whether the caller is owed no more than what is on its way.
+    def flushes_on_eof(self) -> bool:
+        """Whether buffered bytes are still sent after the caller's EOF.
 
-        A caller that stops sending while a request is open counts as gone:
-        it can't be told from one that closed, and work for such a one has
-        to end within half a second.  Proxies do the same by default.
+        False while a request is open: then the caller counts as
+        disconnected.  Its half-close can't be distinguished from a close,
+        after which work for the caller has to end within half a second.
+        Proxies do the same by default.
         """
         return self.call is None
 
     # -- from the call --------------------------------------------------------
 
     def send_answer(self, status: int, fields: list, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         try:
             data = self._head_bytes(status, fields)
-        except _UNWRITABLE:
-            # The caller waits for an end, and this is one.
-            LOG.exception("an answer can't be written")
+        except _ENCODING_ERRORS:
+            # The caller needs some response, so it gets a plain 500.
+            LOG.exception("cannot encode a response")
             body = b""
             data = self._head_bytes(500, [("Content-Length", "0")])
         if body and self._head.method != b"HEAD":
             data += self._http.send(h11.Data(data=body))
         data += self._http.send(h11.EndOfMessage())
         self._server.hub.send(self._sock, data)
-        self._next()
+        self._finish_response()
 
     def send_head(self, status: int, fields: list) -> None:
-        """Begin an answer."""
+        """Send the status and header fields of a response."""
         try:
             data = self._head_bytes(status, fields)
-        except _UNWRITABLE:
-            LOG.exception("an answer can't be written")
+        except _ENCODING_ERRORS:
+            LOG.exception("cannot encode a response")
             self._server.hub.shut(self._sock)
             return
         self._server.hub.send(self._sock, data)
 
     def send_data(self, data: bytes) -> None:
-        """Send a part of an answer's body."""
+        """Send a part of a response's body."""
         chunk = self._http.send(h11.Data(data=data))
         self._server.hub.send(self._sock, chunk)
 
     def send_end(self) -> None:
-        """Complete an answer."""
+        """Mark the response as complete."""
         self._server.hub.send(self._sock, self._http.send(h11.EndOfMessage()))
-        self._next()
+        self._finish_response()
 
     def abort(self) -> None:
-        """Close at once, without completing the answer."""
+        """Close without completing the response; sent parts still leave."""
         self._ended_by = incoming.EndedBy.VM
-        self._owed_call, self.call = self.call, None
-        self._is_over = self._is_cut = True
+        self._incomplete_call, self.call = self.call, None
+        self._is_closing = self._is_interrupted = True
         self._server.hub.shut(self._sock)
 
     # -- from the server ------------------------------------------------------
 
     def close_if_overdue(self, now: float) -> None:
-        """Close an idle connection, or one that sends too slowly."""
+        """Close the connection if it was idle or sending for too long."""
         if not self._is_overdue(now):
             return
-        self._server.hub.read_now(self._sock)
+        self._server.hub.read_pending(self._sock)
         if not self._is_overdue(now):
             return
-        if self.receiving:
-            self._refuse(408)
+        if self.is_receiving:
+            self._reject(408)
         else:
             self.close_if_idle()
 
     def close_if_idle(self) -> None:
-        """Close a connection on which no request has begun.
+        """Close the connection if no request is open or being received.
 
-        What the kernel holds is read first, and what is unsent leaves
-        first: a request that comes meanwhile is served.  Until then the
-        caller can't have sent the next one, so it is not idle.
+        Bytes in the kernel are read first, so that a request among them is
+        served.  While response bytes are unsent, the connection does not
+        count as idle either: the caller can't have sent the next request.
         """
-        if self._is_over:
+        if self._is_closing:
             return
         hub = self._server.hub
-        hub.read_now(self._sock)
-        is_idle = self.call is None and not self.receiving
-        if self._is_new:
-            age = self._server.timers.now() - self.since
-            is_idle = is_idle and age > NEW_SECONDS
+        hub.read_pending(self._sock)
+        is_idle = self.call is None and not self.is_receiving
+        if self._awaits_first_request:
+            age = self._server.timers.now() - self.state_since
+            is_idle = is_idle and age > FIRST_REQUEST_SECONDS
         if not is_idle:
             return
         if hub.unsent_bytes(self._sock):
-            self.since = self._server.timers.now()
+            self.state_since = self._server.timers.now()
         else:
             hub.shut(self._sock)
 
     def give_up(self) -> None:
-        """Have what is open answered now, as far as that can be."""
-        self._server.hub.read_now(self._sock)
+        """Complete the open request now, or reject a partly received one."""
+        self._server.hub.read_pending(self._sock)
         if self.call is not None:
-            self.call.run_out()
-        elif self.receiving and not self._is_over:
-            self._refuse(503)
+            self.call.end_for_shutdown()
+        elif self.is_receiving and not self._is_closing:
+            self._reject(503)
 
     def close(self) -> None:
-        """Close, whatever is owed."""
+        """Close at once and discard unsent bytes."""
         self._ended_by = incoming.EndedBy.VM
-        self._server.hub.cut(self._sock)
+        self._server.hub.close_now(self._sock)
 
     # -- own ------------------------------------------------------------------
 
-    def _leave_call(self) -> None:
-        """Tell a call that is open that its answer goes nowhere."""
+    def _disconnect_call(self) -> None:
+        """Notify an open call that its caller has disconnected."""
         call, self.call = self.call, None
         if call is None:
             return
-        self._owed_call = call
-        self._is_cut = True
+        self._incomplete_call = call
+        self._is_interrupted = True
         call.gone = True
         if call.on_gone is not None:
             call.on_gone()
 
     def _is_overdue(self, now: float) -> bool:
-        if self.call is not None or self._is_over:
+        if self.call is not None or self._is_closing:
             return False
         limits = self._server.limits
         bound = limits.idle_seconds
-        if self.receiving:
+        if self.is_receiving:
             bound = limits.header_seconds
             if self._head is not None:
                 bound = limits.body_seconds
-        return now - self.since > bound
+        return now - self.state_since > bound
 
-    def _end(self) -> None:
-        """Close behind the answer, which must not be lost by that.
+    def _close_after_response(self) -> None:
+        """Close once the response is sent, without losing it to a reset.
 
-        What a caller sends behind it all the same is not read.
+        Anything that the caller sends after this is discarded.
         """
-        self._is_over = True
+        self._is_closing = True
         hub = self._server.hub
         is_whole = self._http.their_state in (h11.DONE, h11.MUST_CLOSE)
         if is_whole and not hub.has_unread(self._sock):
             hub.shut(self._sock)
         else:
-            lingering.Lingering(hub, self._server.timers, self._sock, self)
+            lingering.LingeringClose(
+                hub, self._server.timers, self._sock, self
+            )
 
-    def _resume(self) -> None:
-        """Parse what came behind the last request."""
-        if self._is_over:
+    def _parse_received(self) -> None:
+        """Parse buffered input; reject it if it is not valid HTTP."""
+        if self._is_closing:
             return
         try:
             self._parse()
         except h11.RemoteProtocolError as error:
-            self._refuse(error.error_status_hint)
+            self._reject(error.error_status_hint)
 
     def _parse(self) -> None:
         while self.call is None:
@@ -269,11 +284,11 @@
             if event in (h11.NEED_DATA, h11.PAUSED):
                 return
             if isinstance(event, h11.Request):
-                self._take_head(event)
+                self._handle_head(event)
             elif isinstance(event, h11.Data):
                 self._body_bytes += len(event.data)
                 if self._body_bytes > self._server.limits.body_bytes:
-                    self._refuse(413)
+                    self._reject(413)
                     return
                 self._body.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -281,9 +296,9 @@
             elif isinstance(event, h11.ConnectionClosed):
                 return
 
-    def _take_head(self, head: h11.Request) -> None:
+    def _handle_head(self, head: h11.Request) -> None:
         self._head = head
-        self.receiving = True
+        self.is_receiving = True
         if self._http.they_are_waiting_for_100_continue:
             proceed = h11.InformationalResponse(status_code=100, headers=[])
             self._server.hub.send(self._sock, self._http.send(proceed))
@@ -293,9 +308,9 @@
         body = b"".join(self._body)
         self._body.clear()
         self._body_bytes = 0
-        self.receiving = False
-        self._is_new = False
-        self._owed_call = None
+        self.is_receiving = False
+        self._awaits_first_request = False
+        self._incomplete_call = None
         fields = [
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in head.headers.raw_items()
@@ -318,34 +333,36 @@
         event = h11.Response(status_code=status, headers=headers)
         return self._http.send(event)
 
-    def _next(self) -> None:
-        """Go on with the next request on this connection, if any."""
+    def _finish_response(self) -> None:
+        """Prepare the connection for its next request, or close it."""
         unsent = self._server.hub.unsent_bytes(self._sock)
-        self._owed_call = self.call if unsent else None
+        self._incomplete_call = self.call if unsent else None
         self.call = None
         self._head = None
-        self.since = self._server.timers.now()
+        self.state_since = self._server.timers.now()
         is_done = self._http.our_state is h11.DONE
         if not is_done or self._http.their_state is not h11.DONE:
-            self._end()
+            self._close_after_response()
             return
         self._http.start_next_cycle()
         surplus, at_end = self._http.trailing_data
         if surplus:
-            self.receiving = True
-            self._server.timers.call_later(0, self._resume)
+            self.is_receiving = True
+            self._server.timers.call_later(0, self._parse_received)
         elif at_end:
             self._server.hub.shut(self._sock)
 
-    def _refuse(self, status: int) -> None:
-        """Answer a request that can't be read, and close."""
-        self._server.count_refusal(status)
+    def _reject(self, status: int) -> None:
+        """Answer a request that can't be read, and close the connection."""
+        self._server.report_rejected(status)
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             fields = [("Content-Length", "0"), ("Connection", "close")]
             try:
                 event = h11.Response(status_code=status, headers=fields)
                 self._server.hub.send(self._sock, self._http.send(event))
             except h11.LocalProtocolError:
-                LOG.info("no answer fits", extra={"status": status})
-        self._leave_call()
-        self._end()
+                LOG.info(
+                    "cannot send an error response", extra={"status": status}
+                )
+        self._disconnect_call()
+        self._close_after_response()
--- a/postspring/transport/sockets.py
+++ b/postspring/transport/sockets.py
@@ -1,9 +1,9 @@
 """Many TCP connections in one circuits component.
 
 circuits' ``TCPClient`` is a component per connection and polls while it
-connects.  ``SocketHub`` keeps circuits' poller, buffers and socket options
-of its ``TCPServer`` and adds outgoing connections to it, so that opening
-one neither spins nor rebuilds the loop's table of handlers.
+connects.  ``SocketHub`` uses the poller, buffers and socket options of
+circuits' ``TCPServer`` and adds outgoing connections to it, so that opening
+one neither busy-waits nor rebuilds the event loop's table of handlers.
 """
 
 from collections.abc import Callable
@@ -28,15 +28,15 @@
 LOG = logging.getLogger(__name__)
 READ_BYTES = 64 * 1024
 PACE_SECONDS = 0.01
-# Reads at once before a connection is judged: more than the longest request
-# that may come.
-MOST_READS = 128
-# How long a listener rests for which there is no file or no room, in seconds:
-# its connections wait in the kernel meanwhile, and callers hardly notice.
-REST_SECONDS = 0.05
+# Reads that empty a connection's receive buffer; together they hold more than
+# the longest permitted request.
+MAX_READS = 128
+# How long the listener pauses when no descriptor or slot is free, in seconds:
+# connections wait in the kernel's backlog, a delay that callers hardly notice.
+LISTENER_PAUSE_SECONDS = 0.05
 
 
-class SocketHub(opening.OpeningHub):
+class SocketHub(opening.ConnectingHub):
     """Opens, accepts, reads and writes TCP connections.
 
     Parameters
@@ -56,7 +56,7 @@
     ==========
 
     has_room : callable
-        Returns whether one more connection may be accepted.
+        Returns whether another connection may be accepted.
     """
 
     def __init__(
@@ -69,19 +69,19 @@
         self._listening = bind is not None
         self._on_accept = on_accept
         self._paced: dict[socket.socket, None] = {}
-        self._ending: dict[socket.socket, None] = {}
-        self._pump: timers.TimerHandle | None = None
+        self._half_closing: dict[socket.socket, None] = {}
+        self._paced_timer: timers.TimerHandle | None = None
         self.has_room: Callable[[], bool] = lambda: True
         super().__init__(timers, bind, bufsize=READ_BYTES, channel=channel)
 
-    # -- for users ----------------------------------------------------------
+    # -- for owners of connections ----------------------------------------
 
     def send(self, sock: socket.socket, data: bytes) -> None:
-        """Send bytes: at once if nothing is buffered, else in order."""
+        """Send bytes at once; buffer those that the kernel does not take."""
         if sock not in self._handler_by_socket:
             return
-        if len(data) > windows.LONG_BYTES:
-            self._windows.watch(sock)
+        if len(data) > windows.MIN_WATCHED_BYTES:
+            self._send_windows.watch(sock)
         if not self._buffers[sock]:
             try:
                 sent = sock.send(data)
@@ -96,105 +96,108 @@
         self.write(sock, data)
 
     def unsent_bytes(self, sock: socket.socket) -> int:
-        """Return how many bytes wait to be sent."""
+        """Return how many bytes are buffered in this process for sending."""
         return sum(len(data) for data in self._buffers.get(sock, ()))
 
     @property
     def all_unsent_bytes(self) -> int:
-        """How many bytes wait to be sent, on all connections."""
+        """Number of bytes buffered for sending on all connections."""
         return sum(map(self.unsent_bytes, self._handler_by_socket))
 
     @property
     def unread_count(self) -> int:
-        """On how many connections the kernel holds bytes."""
+        """Number of connections with unread bytes in the kernel."""
         return sum(map(self.has_unread, self._handler_by_socket))
 
-    def pace(self, sock: socket.socket) -> None:
-        """Read this connection at intervals instead of at each packet.
+    def start_paced_reading(self, sock: socket.socket) -> None:
+        """Read a connection at intervals instead of at each packet.
 
-        Many small packets then cost one read and no event each.
+        Many small packets then cost a single read, and no event each.
         """
         if sock not in self._handler_by_socket or sock in self._paced:
             return
         self._poller.removeReader(sock)
         self._paced[sock] = None
-        if self._pump is None:
-            self._pump = self._timers.call_later(
+        if self._paced_timer is None:
+            self._paced_timer = self._timers.call_later(
                 PACE_SECONDS, self._read_paced
             )
 
-    def pause(self, sock: socket.socket) -> None:
-        """Stop reading a paced connection."""
+    def stop_paced_reading(self, sock: socket.socket) -> None:
+        """Stop reading a connection that is read at intervals."""
         self._paced.pop(sock, None)
 
     def hold(self, sock: socket.socket) -> None:
-        """Stop reading a connection; :meth:`unpace` goes on."""
+        """Stop reading a connection until :meth:`unpace` is called."""
         self._paced.pop(sock, None)
         if self._poller.isReading(sock):
             self._poller.removeReader(sock)
 
     def unpace(self, sock: socket.socket) -> None:
-        """Read the connection as its packets come again."""
+        """Read a connection whenever it has input, as at the start."""
         if sock in self._handler_by_socket and not self._poller.isReading(
             sock
         ):
             self._paced.pop(sock, None)
             self._poller.addReader(self, sock)
 
-    def adopt(self, sock: socket.socket, user: ConnectionHandler) -> None:
-        """Hand an open connection to another user."""
+    def set_handler(
+        self, sock: socket.socket, new_handler: ConnectionHandler
+    ) -> None:
+        """Replace the handler of an open connection."""
         if sock in self._handler_by_socket:
-            self._handler_by_socket[sock] = user
+            self._handler_by_socket[sock] = new_handler
 
     def shut(self, sock: socket.socket) -> None:
-        """Close a connection once what was sent has left."""
+        """Close a connection once its buffered bytes are sent."""
         if sock.fileno() >= 0:
             self.close(sock)
 
-    def cut(self, sock: socket.socket) -> None:
-        """Close a connection at once, whatever is unsent."""
+    def close_now(self, sock: socket.socket) -> None:
+        """Close a connection at once and discard buffered bytes."""
         if sock in self._handler_by_socket:
             self._close(sock)
 
-    def end_sending(self, sock: socket.socket) -> None:
-        """Say that nothing more follows, once what was sent has left."""
+    def shutdown_sending(self, sock: socket.socket) -> None:
+        """Shut the sending side down once buffered bytes are sent."""
         if sock not in self._handler_by_socket:
             return
-        self._ending[sock] = None
+        self._half_closing[sock] = None
         if not self._buffers.get(sock):
-            self._say_end(sock)
+            self._shutdown_sending_now(sock)
 
-    def read_now(self, sock: socket.socket) -> None:
-        """Read what the kernel holds, before a connection is judged.
+    def read_pending(self, sock: socket.socket) -> None:
+        """Read the bytes that the kernel holds for a connection.
 
-        In a turn of the loop timers run before sockets: after a pause what
-        a timer's function knows of a connection is as old as the pause.
+        The event loop runs timers before it polls sockets.  After a pause, a
+        timer has to call this before it acts on the state of a connection,
+        which is otherwise as old as the pause.
         """
-        for _ in range(MOST_READS):
+        for _ in range(MAX_READS):
             if not self._read(sock):
                 return
 
     def has_unread(self, sock: socket.socket) -> bool:
-        """Return whether the kernel holds bytes of a connection."""
+        """Return whether the kernel holds unread bytes of a connection."""
         try:
             return bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except OSError:
             return False
 
-    def accept_now(self) -> None:
-        """Accept what waits: closing the listener would reset it."""
+    def accept_pending(self) -> None:
+        """Accept waiting connections: closing the listener resets them."""
         for _ in range(self._backlog):
             if not self._accept():
                 return
 
     def refuse_new(self) -> None:
-        """Stop accepting; open connections go on."""
+        """Close the listener; open connections remain."""
         if self._listening and self._sock is not None:
             self._poller.discard(self._sock)
             self._sock.close()
             self._sock = None
 
-    # -- circuits' side -----------------------------------------------------
+    # -- from circuits --------------------------------------------------------
 
     def _create_socket(self):
         if self._listening:
@@ -218,11 +221,11 @@
     @handler("_write", priority=1)
     def _on_write(self, sock):
         if sock in self._connecting:
-            self._opened(sock)
+            self._finish_connect(sock)
             return
         super()._on_write(sock)
-        if sock in self._ending and not self._buffers.get(sock):
-            self._say_end(sock)
+        if sock in self._half_closing and not self._buffers.get(sock):
+            self._shutdown_sending_now(sock)
 
     @handler("_disconnect", priority=1)
     def _on_disconnect(self, sock):
@@ -232,21 +235,21 @@
             self._close(sock)
 
     def _accept(self) -> bool:
-        """Accept a connection, at once; return whether there was one."""
+        """Accept one waiting connection; return whether one was accepted."""
         if self._sock is None:
             return False
         if not self.has_room():
-            self.shortage.note("bound of connections")
-            self._rest()
+            self.shortage.record("bound of connections")
+            self._pause_listening()
             return False
         try:
             sock, _peer = self._sock.accept()
         except (BlockingIOError, ConnectionAbortedError, PermissionError):
             return False
         except OSError as error:
-            # Asked again at once, it would fail in each turn of the loop.
-            if not self.shortage.relieve(error):
-                self._rest()
+            # Without a pause, accept() would fail in each loop iteration.
+            if not self.shortage.close_idle_connection(error):
+                self._pause_listening()
             return False
         self._on_accept_done(sock)
         return True
@@ -254,18 +257,18 @@
     def _on_accept_done(self, sock, fire_connect_event=True):
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = opening.tell(self._on_accept, sock)
-        if connection is None:
+        conn_handler = opening.call_safely(self._on_accept, sock)
+        if conn_handler is None:
             sock.close()
             return
         self._clients.append(sock)
-        self._handler_by_socket[sock] = connection
+        self._handler_by_socket[sock] = conn_handler
         self._poller.addReader(self, sock)
 
     def _read(self, sock) -> bool:
-        """Read once; return whether bytes came."""
-        connection = self._handler_by_socket.get(sock)
-        if connection is None:
+        """Read once; return whether bytes were received."""
+        conn_handler = self._handler_by_socket.get(sock)
+        if conn_handler is None:
             return False
         try:
             data = sock.recv(READ_BYTES)
@@ -275,66 +278,66 @@
             self._close(sock, broken_by=error)
             return False
         if not data:
-            self._ended_by_other_side(sock, connection)
+            self._handle_remote_end(sock, conn_handler)
             return False
         self._timers.has_read = True
         try:
-            connection.received(data)
+            conn_handler.received(data)
         except Exception:
-            LOG.exception("a connection's handler failed")
+            LOG.exception("connection handler raised an exception")
             self._close(sock)
         return True
 
-    def _ended_by_other_side(self, sock, connection) -> None:
-        """Close; whoever only stopped sending still gets what is unsent."""
-        if connection.is_answered and self._buffers.get(sock):
+    def _handle_remote_end(self, sock, conn_handler) -> None:
+        """Handle EOF: close, after sending buffered bytes if so requested."""
+        if conn_handler.flushes_on_eof and self._buffers.get(sock):
             self._poller.removeReader(sock)
             self.close(sock)
         else:
             self._close(sock)
 
     def _close(self, sock, broken_by=None):
-        connection = self._handler_by_socket.pop(sock, None)
+        conn_handler = self._handler_by_socket.pop(sock, None)
         self._paced.pop(sock, None)
-        self._ending.pop(sock, None)
+        self._half_closing.pop(sock, None)
         if sock in self._closeq:
             self._closeq.remove(sock)
         unsent = self.unsent_bytes(sock)
-        self._windows.forget(sock)
+        self._send_windows.remove(sock)
         super()._close(sock)
-        if connection is None:
+        if conn_handler is None:
             return
         if unsent:
-            connection.left_unsent(unsent)
+            conn_handler.unsent_discarded(unsent)
         if broken_by is not None:
             timed_out = broken_by.errno == errno.ETIMEDOUT
-            opening.tell(connection.was_reset, timed_out)
+            opening.call_safely(conn_handler.broken, timed_out)
         else:
-            opening.tell(connection.closed)
+            opening.call_safely(conn_handler.closed)
 
     # -- own ------------------------------------------------------------------
 
-    def _say_end(self, sock: socket.socket) -> None:
-        self._ending.pop(sock, None)
+    def _shutdown_sending_now(self, sock: socket.socket) -> None:
+        self._half_closing.pop(sock, None)
         try:
             sock.shutdown(socket.SHUT_WR)
         except OSError:
             self._close(sock)
 
-    def _rest(self) -> None:
-        """Let connections wait in the kernel for a moment."""
+    def _pause_listening(self) -> None:
+        """Leave new connections in the kernel's backlog for a moment."""
         self._poller.removeReader(self._sock)
-        self._timers.call_later(REST_SECONDS, self._listen_again)
+        self._timers.call_later(LISTENER_PAUSE_SECONDS, self._resume_listening)
 
-    def _listen_again(self) -> None:
+    def _resume_listening(self) -> None:
         if self._sock is not None and not self._poller.isReading(self._sock):
             self._poller.addReader(self, self._sock)
 
     def _read_paced(self) -> None:
-        self._pump = None
+        self._paced_timer = None
         for sock in list(self._paced):
             self._read(sock)
         if self._paced:
-            self._pump = self._timers.call_later(
+            self._paced_timer = self._timers.call_later(
                 PACE_SECONDS, self._read_paced
             )
--- a/postspring/transport/tests/test_files.py
+++ b/postspring/transport/tests/test_files.py
@@ -133,7 +133,7 @@
         first, second, third = self.call(3)
         self.turn(50)
         oldest = next(iter(self.server._connections))
-        oldest.since -= 10
+        oldest.state_since -= 10
         waiting = [third]
         answered = 0
         for _ in range(500):
--- a/postspring/transport/tests/test_http_server.py
+++ b/postspring/transport/tests/test_http_server.py
@@ -15,7 +15,7 @@
 
     def setUp(self):
         self.cuts = []
-        self.edge = callers_edge.CallersEdge(on_cut=self.cuts.append)
+        self.edge = callers_edge.CallersEdge(on_interrupted=self.cuts.append)
         self.addCleanup(self.edge.close)
         self.caller = self.edge.connect()
 
--- a/postspring/transport/tests/test_windows.py
+++ b/postspring/transport/tests/test_windows.py
@@ -112,10 +112,12 @@
     def bounds_after(self, *states):
         """Return the connection's bound after each look, in ms."""
         left = list(states)
-        watch = windows.WindowWatch(self.timers, lambda sock: left.pop(0))
+        watch = windows.SendWindowMonitor(
+            self.timers, lambda sock: left.pop(0)
+        )
         sock = socket.socket()
         self.addCleanup(sock.close)
-        watch.bind(sock)
+        watch.set_ack_timeout(sock)
         watch.watch(sock)
         bounds = []
         for _ in states:
@@ -124,7 +126,7 @@
             bounds.append(
                 sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
             )
-        self.assertIs(states[-1] in (None, DONE), not watch._watched_by_socket)
+        self.assertIs(states[-1] in (None, DONE), not watch._watch_by_socket)
         return bounds
 
     def test_it_is_lifted_while_the_window_is_closed(self):
@@ -141,11 +143,11 @@
         self.assertEqual([800], self.bounds_after(None))
 
     def test_accepted_connections_have_none(self):
-        watch = windows.WindowWatch(self.timers, lambda sock: CLOSED)
+        watch = windows.SendWindowMonitor(self.timers, lambda sock: CLOSED)
         sock = socket.socket()
         self.addCleanup(sock.close)
         watch.watch(sock)
-        self.assertEqual({}, watch._watched_by_socket)
+        self.assertEqual({}, watch._watch_by_socket)
 
 
 class ReadTest(unittest.TestCase):
@@ -156,7 +158,7 @@
             socket.create_server(("127.0.0.1", 0)) as listening,
             socket.create_connection(listening.getsockname()) as sock,
         ):
-            self.assertTrue(windows.read_send_state(sock).is_done)
+            self.assertTrue(windows.read_send_state(sock).is_all_acknowledged)
 
     def test_anything_else_says_nothing(self):
         one, other = socket.socketpair()
--- a/postspring/transport/timers.py
+++ b/postspring/transport/timers.py
@@ -1,4 +1,4 @@
-"""Timers: call a function later, on the circuits loop."""
+"""Timers that call functions on the circuits event loop."""
 
 from collections.abc import Callable
 import heapq
@@ -13,20 +13,20 @@
 
 LOG = logging.getLogger(__name__)
 
-# Timers that are later than this wait for what has come meanwhile to be read:
-# it is a small part of the shortest time that others are given, 0.1 s.
-LATE_SECONDS = 0.02
-# A loop that stood still for longer is worth a line to whoever is on call:
-# calls in that time were late, here or elsewhere.
-PAUSE_SECONDS = 0.25
-# One look at the sockets reads a part of long answers.  After a pause more
-# looks are taken while they find something, for this long at most, in
-# seconds; a whole answer of a megabyte is read in some ms.
+# Timers that are later than this wait until received data has been read.  It
+# is a small fraction of the shortest timeout in use, 0.1 s.
+LATENESS_TOLERANCE_SECONDS = 0.02
+# A pause of the event loop above this is logged and counted: it delayed calls,
+# in this process or in others that waited for it.
+MIN_PAUSE_SECONDS = 0.25
+# One poll of the sockets reads only a part of a long response.  After a pause,
+# sockets are polled again as long as data arrives, for at most this long, in
+# seconds; a response of a megabyte is read within a few ms.
 CATCH_UP_SECONDS = 0.1
 
 
 class TimerHandle:
-    """A call that is due later; :meth:`cancel` takes it back."""
+    """A scheduled call; :meth:`cancel` prevents it."""
 
     __slots__ = ("function", "arguments")
 
@@ -35,35 +35,35 @@
         self.arguments = arguments
 
     def cancel(self) -> None:
-        """Don't make the call; harmless if it was made already."""
+        """Cancel the call; no effect if it was made already."""
         self.function = None
         self.arguments = ()
 
 
 class Timers(BaseComponent):
-    """All timeouts of a process in one heap.
+    """All timers of a process in one heap.
 
     Explanation
     ===========
 
     circuits has a component per timer, and registering one rebuilds the
-    loop's table of handlers.  With several timeouts for each request that
-    costs more than the request; here a timeout costs a push on a heap.
+    event loop's table of handlers.  With several timeouts for each request
+    that costs more than the request; here a timer costs a push on a heap.
 
-    Timers run before the sockets are asked.  After a pause of the process
-    all timeouts that passed meanwhile would fire while the answers to them
-    lie in the kernel, and others would be taken for silent: so what is late
-    waits until what has come is read.
+    Timers run before sockets are polled.  After a pause of the process, all
+    timeouts that passed meanwhile would fire although responses wait unread
+    in the kernel, and live peers would count as unresponsive.  So late
+    timers are deferred until the received data has been read.
 
     Attributes
     ==========
 
     has_read : bool
-        Set by whoever reads sockets, each time that something came.
+        Set by :class:`SocketHub` each time that it has read data.
     pauses : int
-        How often the loop stood still for longer than callers notice.
+        How often the event loop paused for longer than callers notice.
     paused_seconds : float
-        How long in all.
+        Total duration of these pauses.
     """
 
     channel = "timers"
@@ -72,7 +72,7 @@
         super().__init__()
         self._heap: list[tuple[float, int, TimerHandle]] = []
         self._tie_break = itertools.count()
-        self._reads_until: float | None = None
+        self._input_deadline: float | None = None
         self.has_read = False
         self.pauses = 0
         self.paused_seconds = 0.0
@@ -92,17 +92,17 @@
         return handle
 
     def call_every(self, seconds: float, function: Callable) -> TimerHandle:
-        """Call ``function()`` again and again, that many seconds apart."""
-        repeated = TimerHandle(function, ())
+        """Call ``function()`` repeatedly, every ``seconds`` seconds."""
+        handle = TimerHandle(function, ())
 
         def repeat() -> None:
-            if repeated.function is None:
+            if handle.function is None:
                 return
             self.call_later(seconds, repeat)
-            repeated.function()
+            handle.function()
 
         self.call_later(seconds, repeat)
-        return repeated
+        return handle
 
     @handler("generate_events", channel="*", priority=5)
     def _on_generate_events(self, event):
@@ -111,39 +111,43 @@
             heapq.heappop(heap)
         if not heap:
             return
-        began = now()
-        late = began - heap[0][0]
+        started_at = now()
+        late = started_at - heap[0][0]
         if late < 0:
-            self._reads_until = None
+            self._input_deadline = None
             event.reduce_time_left(-late)
             return
         event.reduce_time_left(0)
-        if late > LATE_SECONDS and self._reads_first(began, late):
+        if late > LATENESS_TOLERANCE_SECONDS and self._should_read_first(
+            started_at, late
+        ):
             return
-        self._reads_until = None
-        self._run_due(began + LATE_SECONDS)
+        self._input_deadline = None
+        self._run_due(started_at + LATENESS_TOLERANCE_SECONDS)
 
-    def _reads_first(self, time_now: float, late: float) -> bool:
-        """Whether the sockets are to be read before timers that are late."""
-        if self._reads_until is None:
-            self._reads_until = time_now
+    def _should_read_first(self, time_now: float, late: float) -> bool:
+        """Return whether to poll the sockets before running late timers."""
+        if self._input_deadline is None:
+            self._input_deadline = time_now
             self.has_read = False
-            if late > PAUSE_SECONDS:
-                self._reads_until += CATCH_UP_SECONDS
-                self._note_pause(late)
+            if late > MIN_PAUSE_SECONDS:
+                self._input_deadline += CATCH_UP_SECONDS
+                self._record_pause(late)
             return True
-        if not self.has_read or time_now > self._reads_until:
+        if not self.has_read or time_now > self._input_deadline:
             return False
         self.has_read = False
         return True
 
-    def _note_pause(self, seconds: float) -> None:
+    def _record_pause(self, seconds: float) -> None:
         self.pauses += 1
         self.paused_seconds += seconds
-        LOG.warning("loop stood still", extra={"seconds": round(seconds, 2)})
+        LOG.warning(
+            "event loop was paused", extra={"seconds": round(seconds, 2)}
+        )
 
     def _run_due(self, until: float) -> None:
-        """Run what is due; what takes long leaves the rest for later."""
+        """Run due timers, but start none after ``until``."""
         heap = self._heap
         while heap:
             due, _tie, handle = heap[0]
@@ -159,7 +163,7 @@
         try:
             handle.function(*handle.arguments)
         except Exception:
-            LOG.exception("a timer's function failed")
+            LOG.exception("timer callback raised an exception")
 
 
 now = Timers.now
--- a/postspring/transport/windows.py
+++ b/postspring/transport/windows.py
@@ -1,4 +1,4 @@
-"""Whether the other side of a connection is alive and just does not read."""
+"""Distinguishes a peer that is alive but not reading from a failed path."""
 
 from collections.abc import Callable
 import dataclasses
@@ -9,23 +9,23 @@
 
 from postspring.transport import timers as timers_module
 
-__all__ = ["SendState", "WindowWatch", "read_send_state"]
+__all__ = ["SendState", "SendWindowMonitor", "read_send_state"]
 
 LOG = logging.getLogger(__name__)
 
-# Bytes that the other side does not acknowledge for this long mean that the
-# path is gone; a partition otherwise hangs the connection for minutes.  A
-# round trip takes a few ms, and a crowded link holds packets up for 500.
-UNACKNOWLEDGED_MILLISECONDS = 800
-# The same while the other side was seen to be alive, with its window closed:
-# the call's own timeouts bound that.
-ALIVE_MILLISECONDS = 30_000
-# How often sending is looked at: twice at least in the shorter time.
-LOOK_SECONDS = 0.3
-# Less than this fits into any window, so that it need not be looked at.
-LONG_BYTES = 16 * 1024
-# Probes of a closed window of which none was answered: one may be under way.
-UNANSWERED_PROBES = 1
+# A connection is closed when sent bytes stay unacknowledged for this long; a
+# partition would otherwise block it for minutes.  A round trip takes a few ms,
+# and a congested link delays packets by up to 500 ms.
+ACK_TIMEOUT_MILLISECONDS = 800
+# The same limit for a peer that is alive with its receive window closed; the
+# timeouts of the request apply as well.
+CLOSED_WINDOW_TIMEOUT_MILLISECONDS = 30_000
+# Interval of the checks: at least two fit into the shorter limit.
+CHECK_INTERVAL_SECONDS = 0.3
+# A shorter send fits into any receive window and needs no monitoring.
+MIN_WATCHED_BYTES = 16 * 1024
+# Window probes without an answer from a live peer: one may be in flight.
+MAX_UNANSWERED_PROBES = 1
 
 # struct tcp_info of Linux: state, probes, rto, unacked, notsent_bytes.
 _TCP_INFO = struct.Struct("=B2xB4xI12xI116xI")
@@ -33,10 +33,17 @@
 
 
 class SendState(NamedTuple):
-    """What the kernel knows of the bytes on their way.
+    """The kernel's state of sending on a connection.
 
-    ``unacknowledged`` are packets, ``unsent`` bytes for which the other
-    side has no room, ``probes`` questions for room without an answer.
+    Parameters
+    ==========
+
+    probes : int
+        Window probes that the peer has not answered.
+    unacknowledged : int
+        Packets that were sent and not acknowledged.
+    unsent : int
+        Bytes in the kernel that were not sent yet.
     """
 
     probes: int
@@ -44,28 +51,29 @@
     unsent: int
 
     @property
-    def is_done(self) -> bool:
-        """Whether the other side has all."""
+    def is_all_acknowledged(self) -> bool:
+        """Whether the peer has acknowledged all bytes."""
         return not self.unacknowledged and not self.unsent
 
     @property
-    def is_closed_window(self) -> bool:
-        """Whether the other side has acknowledged all that it had room for.
+    def is_window_closed(self) -> bool:
+        """Whether the peer is alive and its receive window is closed.
 
-        It answers probes as long as its machine is alive and reachable.
+        It has acknowledged everything that was sent, and answers window
+        probes as long as its machine is alive and reachable.
         """
         return (
             self.unsent > 0
             and not self.unacknowledged
-            and self.probes <= UNANSWERED_PROBES
+            and self.probes <= MAX_UNANSWERED_PROBES
         )
 
 
 def read_send_state(sock: socket.socket) -> SendState | None:
-    """Return the kernel's state of sending, None if it does not tell.
+    """Return the kernel's state of sending, or None if it is unavailable.
 
-    What is no state of an open connection is not believed: networks other
-    than the kernel's own may answer with anything.
+    Data that does not describe an established connection is ignored: a
+    network stack other than Linux's own may return anything.
     """
     try:
         raw = sock.getsockopt(
@@ -81,24 +89,24 @@
     return SendState(probes, unacknowledged, unsent)
 
 
-class WindowWatch:
-    """Bears with an other side that is alive and does not read for a while.
+class SendWindowMonitor:
+    """Extends the limit on unacknowledged bytes for live peers.
 
     Explanation
     ===========
 
-    The kernel's bound on unacknowledged bytes also ends connections whose
-    window has been closed for as long, though each probe is answered: a
-    machine that is busy for a second would count as gone.  So long
-    requests are looked at while they are sent, and the bound is lifted
-    while the other side is seen to be alive.  Where the kernel does not
-    tell, the bound stays.
+    The kernel's limit on unacknowledged bytes (TCP_USER_TIMEOUT) also ends a
+    connection whose receive window has been closed for as long, although
+    the peer answers each probe: a machine that is busy for a second would
+    count as failed.  So sockets with long sends are checked at intervals,
+    and the limit is extended while the peer is alive.  Where the kernel's
+    state is unavailable, the limit stays.
 
     Parameters
     ==========
 
     read_state : callable
-        Reads the state of sending of a socket.
+        Returns the :class:`SendState` of a socket, or None.
     """
 
     def __init__(
@@ -110,69 +118,76 @@
     ):
         self._timers = timers
         self._read_state = read_state
-        self._bound: set[socket.socket] = set()
-        self._watched_by_socket: dict[socket.socket, _Watched] = {}
+        self._monitored: set[socket.socket] = set()
+        self._watch_by_socket: dict[socket.socket, _SocketWatch] = {}
         self._timer: timers_module.TimerHandle | None = None
 
-    def bind(self, sock: socket.socket) -> None:
-        """Set the bound on a connection that is to be opened."""
-        self._bound.add(sock)
-        _set_bound(sock, UNACKNOWLEDGED_MILLISECONDS)
+    def set_ack_timeout(self, sock: socket.socket) -> None:
+        """Set the limit on a connection that is about to be opened."""
+        self._monitored.add(sock)
+        _set_user_timeout(sock, ACK_TIMEOUT_MILLISECONDS)
 
     def watch(self, sock: socket.socket) -> None:
-        """Look at a bound connection until what was sent has arrived."""
-        if sock not in self._bound or sock in self._watched_by_socket:
+        """Check a limited connection until all sent bytes are acknowledged."""
+        if sock not in self._monitored or sock in self._watch_by_socket:
             return
-        self._watched_by_socket[sock] = _Watched()
+        self._watch_by_socket[sock] = _SocketWatch()
         if self._timer is None:
-            self._timer = self._timers.call_later(LOOK_SECONDS, self._look)
+            self._timer = self._timers.call_later(
+                CHECK_INTERVAL_SECONDS, self._check_all
+            )
 
-    def forget(self, sock: socket.socket) -> None:
-        """Drop a connection that is gone."""
-        self._bound.discard(sock)
-        self._watched_by_socket.pop(sock, None)
+    def remove(self, sock: socket.socket) -> None:
+        """Remove a closed connection."""
+        self._monitored.discard(sock)
+        self._watch_by_socket.pop(sock, None)
 
     # -- own ------------------------------------------------------------------
 
-    def _look(self) -> None:
+    def _check_all(self) -> None:
         self._timer = None
-        for sock in list(self._watched_by_socket):
-            self._look_at(sock)
-        if self._watched_by_socket:
-            self._timer = self._timers.call_later(LOOK_SECONDS, self._look)
+        for sock in list(self._watch_by_socket):
+            self._check(sock)
+        if self._watch_by_socket:
+            self._timer = self._timers.call_later(
+                CHECK_INTERVAL_SECONDS, self._check_all
+            )
 
-    def _look_at(self, sock: socket.socket) -> None:
+    def _check(self, sock: socket.socket) -> None:
         state = self._read_state(sock)
-        watched = self._watched_by_socket[sock]
-        is_alive = state is not None and state.is_closed_window
-        if is_alive and not watched.was_told:
-            watched.was_told = True
-            LOG.info("other side does not read", extra=_peer_of(sock))
-        if is_alive != watched.is_lifted:
-            watched.is_lifted = is_alive
-            _set_bound(
+        socket_watch = self._watch_by_socket[sock]
+        is_alive = state is not None and state.is_window_closed
+        if is_alive and not socket_watch.was_logged:
+            socket_watch.was_logged = True
+            LOG.info(
+                "peer is not reading; its receive window is closed",
+                extra=_peer_address(sock),
+            )
+        if is_alive != socket_watch.is_extended:
+            socket_watch.is_extended = is_alive
+            _set_user_timeout(
                 sock,
-                ALIVE_MILLISECONDS
+                CLOSED_WINDOW_TIMEOUT_MILLISECONDS
                 if is_alive
-                else UNACKNOWLEDGED_MILLISECONDS,
+                else ACK_TIMEOUT_MILLISECONDS,
             )
-        if state is None or state.is_done:
-            del self._watched_by_socket[sock]
+        if state is None or state.is_all_acknowledged:
+            del self._watch_by_socket[sock]
 
 
 @dataclasses.dataclass(slots=True)
-class _Watched:
-    """A connection that is looked at."""
+class _SocketWatch:
+    """State of a socket that is being checked."""
 
-    is_lifted: bool = False
-    was_told: bool = False
+    is_extended: bool = False
+    was_logged: bool = False
 
 
-def _set_bound(sock: socket.socket, milliseconds: int) -> None:
+def _set_user_timeout(sock: socket.socket, milliseconds: int) -> None:
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
 
 
-def _peer_of(sock: socket.socket) -> dict:
+def _peer_address(sock: socket.socket) -> dict:
     try:
         host, port = sock.getpeername()
     except OSError:
