--- a/postspring/transport/files.py
+++ b/postspring/transport/files.py
@@ -53,7 +53,7 @@
 
 
 class ConnectionShortage:
-    """Closes idle connections when no file descriptor is left, and counts.
+    """Closes idle connections when descriptors run out; counts shortages.
 
     Attributes
     ==========
--- a/postspring/transport/http_client.py
+++ b/postspring/transport/http_client.py
@@ -278,7 +278,7 @@
         # a byte of a response.
         self.awaiting_response: dict[Exchange, None] = {}
         self._idle_by_address: dict[
-            tuple, list[kept_connections.IdleConnection]
+            tuple, list[kept_connections.KeptConnection]
         ] = {}
 
     def send(
@@ -386,7 +386,7 @@
             self.hub.shut(sock)
             return
         connection.start_next_cycle()
-        kept = kept_connections.IdleConnection(
+        kept = kept_connections.KeptConnection(
             self, address, sock, connection, seconds
         )
         idle.append(kept)
--- a/postspring/transport/incoming.py
+++ b/postspring/transport/incoming.py
@@ -189,16 +189,16 @@
         executed.  Without it, the caller gets a plain 502, which states
         nothing about that.
         """
-        was_answered = self.answered
-        is_broken_off = was_answered and self.on_out_of_time is None
+        had_started = self.answered
+        must_abort = had_started and self.on_out_of_time is None
         try:
             if self.on_out_of_time is not None:
                 self.on_out_of_time()
         except Exception:
             # The remaining calls must still be completed.
             LOG.exception("completing a call at shutdown failed")
-            is_broken_off = was_answered
-        if is_broken_off:
+            must_abort = had_started
+        if must_abort:
             self.abort()
         self.respond(BAD_GATEWAY, [])
 
--- a/postspring/transport/kept_connections.py
+++ b/postspring/transport/kept_connections.py
@@ -6,7 +6,7 @@
 from postspring.transport import sockets
 
 __all__ = [
-    "IdleConnection",
+    "KeptConnection",
     "is_reusable",
     "max_idle_seconds",
     "new_connection",
@@ -19,7 +19,7 @@
 MAX_HEADER_BYTES = 16 * 1024
 
 
-class IdleConnection(sockets.ConnectionHandler):
+class KeptConnection(sockets.ConnectionHandler):
     """Handler of an idle connection; any event makes it unusable."""
 
     def __init__(self, client, address, sock, connection, seconds):
--- a/postspring/transport/tests/test_ends.py
+++ b/postspring/transport/tests/test_ends.py
@@ -1,10 +1,9 @@
-"""Each call has an end, also when a handler fails or a field is odd.
+"""Every exchange ends, also after invalid fields and failing callbacks.
 
-Seen by reading: bytes above 127 in a header field, which HTTP allows, raised
-in the midst of sending, so a caller with such a field, or whose upstream
-answered with one, heard nothing.  The same held for each failure in a handler
-of the hub but ``received``.  Cause: fields went to h11 as text, which it
-encodes as ASCII; handlers were believed never to raise.  Proof: these tests.
+Bytes above 127 in a header field, which HTTP allows, once raised while a
+request or response was sent, because h11 encodes text as ASCII; the caller
+then received no response at all.  Exceptions in callbacks of the hub other
+than ``received`` had the same effect, because the hub did not catch them.
 """
 
 import socket
@@ -12,99 +11,102 @@
 from postspring import transport
 from postspring.transport.tests import test_http_client
 
-ODD_VALUE = "caf\xe9"
-ODD_BYTES = ODD_VALUE.encode("latin-1")
+LATIN1_VALUE = "caf\xe9"
+LATIN1_BYTES = LATIN1_VALUE.encode("latin-1")
 
 
-class ServedCase(test_http_client.LoopCase):
-    """A server whose answers a test chooses."""
+class ServerLoopCase(test_http_client.LoopCase):
+    """A server whose response fields a test sets."""
 
     def setUp(self):
         super().setUp()
         self.calls = []
         self.answer_fields = []
         self.server = transport.HttpServer(
-            self.timers, self.take, transport.ServerLimits()
+            self.timers, self.respond_later, transport.ServerLimits()
         )
         self.server.listen(self.root, ("127.0.0.1", 0))
-        self.turn()
+        self.run_loop()
         self.address = self.server.address
 
-    def take(self, call):
-        """Answer later, as most calls are."""
+    def respond_later(self, call):
+        """Respond in a later loop iteration, as most applications do."""
         self.calls.append(call)
         self.timers.call_later(0, call.respond, 200, self.answer_fields, b"hi")
 
 
-class FieldsTest(ServedCase):
-    """Header fields that HTTP allows, and some that it does not."""
+class HeaderFieldsTest(ServerLoopCase):
+    """Header fields that HTTP allows, and some that it forbids."""
 
-    def test_a_request_with_bytes_above_127(self):
-        listener = self.answer(headers=(("X-Name", ODD_VALUE),))
+    def test_request_field_with_bytes_above_127(self):
+        listener = self.send_and_wait(headers=(("X-Name", LATIN1_VALUE),))
         self.assertEqual(200, listener.status)
-        self.assertEqual(ODD_VALUE, self.calls[0].header("x-name"))
-
-    def test_an_answer_with_bytes_above_127(self):
-        self.answer_fields = [("X-Name", ODD_VALUE), (b"X-Same", ODD_BYTES)]
-        listener = self.answer(timeout=1.0)
+        self.assertEqual(LATIN1_VALUE, self.calls[0].header("x-name"))
+
+    def test_response_field_with_bytes_above_127(self):
+        self.answer_fields = [
+            ("X-Name", LATIN1_VALUE),
+            (b"X-Same", LATIN1_BYTES),
+        ]
+        listener = self.send_and_wait(timeout=1.0)
         self.assertEqual((200, b"hi"), (listener.status, listener.body))
 
-    def test_a_request_that_can_not_be_written_was_not_sent(self):
-        listener = self.answer(headers=(("X-Name", "two\nlines"),))
+    def test_invalid_request_field_fails_as_not_sent(self):
+        listener = self.send_and_wait(headers=(("X-Name", "two\nlines"),))
         self.assertFalse(listener.error.sent)
         self.assertNotIn("timeout", str(listener.error))
 
-    def test_an_answer_that_can_not_be_written_is_a_fault(self):
+    def test_invalid_response_field_gives_status_500(self):
         self.answer_fields = [("X-Name", "two\nlines")]
         with self.assertLogs("postspring.transport", "ERROR"):
-            self.assertEqual(500, self.answer(timeout=1.0).status)
+            self.assertEqual(500, self.send_and_wait(timeout=1.0).status)
 
-    def test_one_that_can_not_be_begun_closes_its_connection(self):
-        self.take = lambda call: (
+    def test_invalid_field_in_started_response_closes_connection(self):
+        self.respond_later = lambda call: (
             self.calls.append(call)
             or call.start(200, [("X-Name", "two\nlines")])
         )
-        self.server._application = self.take
+        self.server._application = self.respond_later
         with self.assertLogs("postspring.transport", "ERROR"):
-            listener = self.answer(timeout=30.0)
+            listener = self.send_and_wait(timeout=30.0)
         self.assertTrue(listener.error.is_broken)
         self.assertTrue(self.calls[0].gone)
 
 
-class FailingUser(transport.ConnectionHandler):
-    """A user of a connection whose every function fails."""
+class FailingHandler(transport.ConnectionHandler):
+    """A connection handler whose callbacks raise."""
 
     def received(self, data):
-        """Fail."""
+        """Raise an error."""
         raise ValueError("received")
 
     def closed(self):
-        """Fail."""
+        """Raise an error."""
         raise ValueError("closed")
 
 
-def fail(*arguments):
-    """Fail."""
+def raise_error(*arguments):
+    """Raise an error, as a callback of the hub."""
     raise ValueError("a user of the hub")
 
 
-class UsersTest(test_http_client.LoopCase):
-    """Users of the hub that fail end nothing but their own connection."""
+class CallbackErrorsTest(test_http_client.LoopCase):
+    """A callback that raises ends only its own connection."""
 
     def open(self, on_open):
-        """Open a connection; return what its errors are."""
+        """Open a connection; return the list that collects its errors."""
         failed = []
         self.hub.open(self.address, 5.0, on_open, failed.append)
         return failed
 
-    def test_a_user_that_fails_at_the_start_hears_of_it(self):
+    def test_on_open_that_raises_is_reported_to_on_error(self):
         with self.assertLogs("postspring.transport", "ERROR"):
-            failed = self.open(fail)
-            self.turn_until(lambda: failed)
+            failed = self.open(raise_error)
+            self.run_loop_until(lambda: failed)
         self.assertFalse(failed[0].sent)
         self.assertEqual([], self.hub._clients)
 
-    def test_one_that_is_closed_at_once_is_forgotten(self):
+    def test_connection_closed_in_on_open_is_removed(self):
         opened = []
 
         def on_open(sock):
@@ -113,33 +115,33 @@
             return transport.ConnectionHandler()
 
         self.open(on_open)
-        self.turn_until(lambda: opened)
-        self.turn()
+        self.run_loop_until(lambda: opened)
+        self.run_loop()
         self.assertEqual({}, self.hub._handler_by_socket)
 
-    def test_a_user_that_fails_at_the_end_is_borne(self):
+    def test_closed_that_raises_is_logged(self):
         opened = []
-        self.open(lambda sock: opened.append(sock) or FailingUser())
-        self.turn_until(lambda: opened)
+        self.open(lambda sock: opened.append(sock) or FailingHandler())
+        self.run_loop_until(lambda: opened)
         with self.assertLogs("postspring.transport", "ERROR"):
             self.hub.shut(opened[0])
         self.assertEqual([], self.hub._clients)
 
-    def test_a_failing_error_function_is_borne(self):
+    def test_on_error_that_raises_is_logged(self):
         self.listening.close()
         with self.assertLogs("postspring.transport", "ERROR") as logs:
-            self.hub.open(self.address, 5.0, fail, fail)
-            self.turn_until(lambda: logs.records)
+            self.hub.open(self.address, 5.0, raise_error, raise_error)
+            self.run_loop_until(lambda: logs.records)
         self.assertEqual({}, self.hub._connecting)
 
-    def test_a_listener_that_fails_closes_what_it_accepted(self):
+    def test_on_accept_that_raises_closes_connection(self):
         hub = transport.SocketHub(
-            self.timers, ("127.0.0.1", 0), fail, channel="failing"
+            self.timers, ("127.0.0.1", 0), raise_error, channel="failing"
         ).register(self.root)
-        self.turn()
+        self.run_loop()
         with self.assertLogs("postspring.transport", "ERROR") as logs:
             caller = socket.create_connection((hub.host, hub.port))
             self.addCleanup(caller.close)
-            self.turn_until(lambda: logs.records)
+            self.run_loop_until(lambda: logs.records)
         caller.settimeout(10)
         self.assertEqual(b"", caller.recv(10))
--- a/postspring/transport/tests/test_files.py
+++ b/postspring/transport/tests/test_files.py
@@ -1,10 +1,10 @@
-"""A process that may open few files more.
+"""Connections when a process runs out of file descriptors.
 
-Seen with 64 files and 100 connections: a core was burnt while connections
-waited, and whoever opened a connection heard an exception instead of an end.
-Cause: the bound of connections was 4,000 whatever the process may open; the
-listener was asked again at once after EMFILE; ``socket()`` was believed never
-to fail.  Proof: these tests lower the soft limit of their own process.
+With 64 files and 100 connections, the process once used a whole core while
+connections waited, and opening a connection raised instead of reporting an
+error: the limit was 4,000 connections whatever the process may open, accept()
+was retried at once after EMFILE, and an error of ``socket()`` was not caught.
+These tests lower the soft limit of their own process.
 """
 
 import os
@@ -18,60 +18,62 @@
 REQUEST = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-class FewFilesCase(test_http_client.LoopCase):
-    """May leave itself just some files."""
+class FileLimitCase(test_http_client.LoopCase):
+    """Limits how many more files the test process can open."""
 
-    def leave_files(self, count):
-        """Let this process open just so many more."""
+    def limit_free_files(self, count):
+        """Let this process open only ``count`` more files."""
         limits = resource.getrlimit(resource.RLIMIT_NOFILE)
-        spare = [os.dup(0) for _ in range(count + 1)]
-        resource.setrlimit(resource.RLIMIT_NOFILE, (max(spare), limits[1]))
+        free_descriptors = [os.dup(0) for _ in range(count + 1)]
+        resource.setrlimit(
+            resource.RLIMIT_NOFILE, (max(free_descriptors), limits[1])
+        )
         self.addCleanup(resource.setrlimit, resource.RLIMIT_NOFILE, limits)
-        for number in spare:
-            os.close(number)
+        for descriptor in free_descriptors:
+            os.close(descriptor)
 
 
-class OpenTest(FewFilesCase):
-    """Opening a connection has an end, files or not."""
+class OutgoingConnectionTest(FileLimitCase):
+    """Opening a connection succeeds or reports an error."""
 
-    def test_without_files_it_is_told_as_not_sent(self):
-        self.leave_files(0)
-        listener = self.answer()
+    def test_without_free_files_it_fails_as_not_sent(self):
+        self.limit_free_files(0)
+        listener = self.send_and_wait()
         self.assertFalse(listener.error.sent)
         self.assertFalse(listener.error.is_unreachable)
 
-    def test_an_address_that_is_none_is_told_as_not_sent(self):
+    def test_invalid_address_fails_as_not_sent(self):
         self.address = ("127.0.0.1", 70000)
-        self.assertFalse(self.answer().error.sent)
+        self.assertFalse(self.send_and_wait().error.sent)
 
-    def test_a_kept_connection_is_given_up_for_it(self):
+    def test_idle_connection_is_closed_to_free_a_file(self):
         self.serve(OK, OK)
-        self.answer()
+        self.send_and_wait()
         other = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(other.close)
         self.address = other.getsockname()
-        self.leave_files(0)
+        self.limit_free_files(0)
         listener = self.send()
-        self.turn_until(lambda: listener.settled or self.hub._clients)
-        self.turn(5)
+        self.run_loop_until(lambda: listener.settled or self.hub._clients)
+        self.run_loop(5)
         self.assertIsNone(listener.error)
 
 
-class ListenerTest(FewFilesCase):
-    """Connections beyond what can be open wait, and cost nothing."""
+class AcceptTest(FileLimitCase):
+    """Excess connections wait in the backlog without using the CPU."""
 
     def listen(self, **limits):
-        """Serve callers; return some whose requests are on their way."""
+        """Start a server that responds to every request at once."""
         self.server = transport.HttpServer(
             self.timers,
             lambda call: call.respond(200, [], b"hi"),
             transport.ServerLimits(**limits),
         )
         self.server.listen(self.root, ("127.0.0.1", 0))
-        self.turn()
+        self.run_loop()
 
-    def call(self, count):
-        """Return so many connections with a request on each."""
+    def send_requests(self, count):
+        """Open ``count`` connections and send a request on each."""
         callers = []
         for _ in range(count):
             caller = socket.create_connection(self.server.address)
@@ -81,8 +83,8 @@
             callers.append(caller)
         return callers
 
-    def take_answers(self, callers):
-        """Take what came; return the callers that wait, and the count."""
+    def collect_responses(self, callers):
+        """Read responses; return waiting callers and the number of 200s."""
         waiting = []
         answered = 0
         for caller in callers:
@@ -95,50 +97,50 @@
             caller.close()
         return waiting, answered
 
-    def test_all_are_answered_as_others_leave(self):
+    def test_waiting_callers_are_served_as_others_disconnect(self):
         self.listen()
-        callers = self.call(10)
-        self.leave_files(3)
+        callers = self.send_requests(10)
+        self.limit_free_files(3)
         answered = 0
         for _ in range(1000):
-            self.turn(1)
-            callers, more = self.take_answers(callers)
+            self.run_loop(1)
+            callers, more = self.collect_responses(callers)
             answered += more
             if not callers:
                 break
         self.assertEqual(10, answered)
 
-    def test_the_listener_rests_without_files(self):
+    def test_listener_pauses_without_free_files(self):
         self.listen()
-        callers = self.call(10)
-        tries = []
+        callers = self.send_requests(10)
+        attempts = []
         accept = self.server.hub._accept
-        self.server.hub._accept = lambda: tries.append(1) or accept()
-        self.leave_files(3)
-        self.turn(60)
-        self.assertLess(len(tries), 30)
-        _waiting, answered = self.take_answers(callers)
+        self.server.hub._accept = lambda: attempts.append(1) or accept()
+        self.limit_free_files(3)
+        self.run_loop(60)
+        self.assertLess(len(attempts), 30)
+        _waiting, answered = self.collect_responses(callers)
         self.assertEqual(3, answered)
 
-    def test_at_the_bound_they_wait_and_are_not_closed(self):
+    def test_callers_above_the_connection_limit_wait(self):
         self.listen(connections=2)
-        callers = self.call(3)
-        self.turn(50)
-        callers, answered = self.take_answers(callers)
+        callers = self.send_requests(3)
+        self.run_loop(50)
+        callers, answered = self.collect_responses(callers)
         self.assertEqual((1, 2), (len(callers), answered))
-        self.turn_until(lambda: not self.take_answers(callers)[0])
+        self.run_loop_until(lambda: not self.collect_responses(callers)[0])
 
-    def test_one_that_has_been_idle_long_makes_room(self):
+    def test_longest_idle_connection_is_closed_for_a_new_caller(self):
         self.listen(connections=2)
-        first, second, third = self.call(3)
-        self.turn(50)
+        first, second, third = self.send_requests(3)
+        self.run_loop(50)
         oldest = next(iter(self.server._connections))
         oldest.state_since -= 10
         waiting = [third]
         answered = 0
         for _ in range(500):
-            self.turn(1)
-            waiting, answered = self.take_answers(waiting)
+            self.run_loop(1)
+            waiting, answered = self.collect_responses(waiting)
             if not waiting:
                 break
         self.assertEqual(1, answered)
--- a/postspring/transport/tests/test_http_client.py
+++ b/postspring/transport/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""HTTP requests over the hub's connections."""
+"""The HTTP client and timers on real sockets."""
 
 import socket
 import threading
@@ -11,7 +11,7 @@
 
 
 class Listener(transport.HttpListener):
-    """Keeps what it hears."""
+    """Stores the response or error of one exchange."""
 
     def __init__(self):
         self.status = None
@@ -20,29 +20,29 @@
         self.error = None
 
     def head(self, status, headers):
-        """Keep the status."""
+        """Store the status."""
         self.status = status
 
     def data(self, chunk):
-        """Keep a part of the body."""
+        """Append a part of the body."""
         self.body += chunk
 
     def end(self):
-        """Note the end."""
+        """Record that the response is complete."""
         self.done = True
 
     def failed(self, error):
-        """Keep the error."""
+        """Store the error."""
         self.error = error
 
     @property
     def settled(self):
-        """Whether the answer or an error has come."""
+        """Whether the exchange has completed or failed."""
         return self.done or self.error is not None
 
 
 class LoopCase(unittest.TestCase):
-    """A loop that is turned by hand, and a scripted server."""
+    """An event loop that the test runs, and a scripted server."""
 
     def setUp(self):
         self.root = BaseComponent()
@@ -54,23 +54,23 @@
         self.listening = socket.create_server(("127.0.0.1", 0))
         self.address = self.listening.getsockname()
         self.addCleanup(self.listening.close)
-        self.turn()
+        self.run_loop()
 
-    def turn(self, count=5):
-        """Turn the loop some times."""
+    def run_loop(self, count=5):
+        """Run ``count`` iterations of the event loop."""
         for _ in range(count):
             self.root.tick(timeout=0.01)
 
-    def turn_until(self, check):
-        """Turn the loop until something holds."""
+    def run_loop_until(self, check):
+        """Run the event loop until ``check`` returns true."""
         for _ in range(1000):
             if check():
                 return
-            self.turn(1)
+            self.run_loop(1)
         self.fail("the loop was turned in vain")
 
     def serve(self, *answers):
-        """Answer one connection's requests with these bytes, then close."""
+        """Answer one connection's requests with ``answers``, then close."""
 
         def run():
             connection, _peer = self.listening.accept()
@@ -91,10 +91,10 @@
         self.http.send(request, listener)
         return listener
 
-    def answer(self, **options):
+    def send_and_wait(self, **options):
         """Send a request and return its listener once it is settled."""
         listener = self.send(**options)
-        self.turn_until(lambda: listener.settled)
+        self.run_loop_until(lambda: listener.settled)
         return listener
 
 
@@ -102,35 +102,35 @@
 
 
 class HttpClientTest(LoopCase):
-    """Answers, reuse and failures."""
+    """Responses, reuse of connections, and failures."""
 
-    def test_a_whole_answer(self):
+    def test_complete_response(self):
         self.serve(OK)
-        listener = self.answer()
+        listener = self.send_and_wait()
         self.assertEqual((200, b"hi"), (listener.status, listener.body))
 
-    def test_a_connection_is_used_again(self):
+    def test_connection_is_reused(self):
         self.serve(OK, OK)
-        self.answer()
-        self.assertEqual(b"hi", self.answer().body)
+        self.send_and_wait()
+        self.assertEqual(b"hi", self.send_and_wait().body)
 
-    def test_a_kept_connection_that_was_closed_is_replaced_for_a_get(self):
+    def test_get_is_resent_if_reused_connection_was_closed(self):
         self.serve(OK)
-        self.answer()
+        self.send_and_wait()
         self.serve(OK)
-        self.assertEqual(b"hi", self.answer().body)
+        self.assertEqual(b"hi", self.send_and_wait().body)
 
-    def test_a_closed_connection_under_a_post_may_have_run(self):
+    def test_post_on_closed_connection_fails_as_sent(self):
         self.serve(b"")
-        listener = self.answer(method="POST", body=b"x", fresh=True)
+        listener = self.send_and_wait(method="POST", body=b"x", fresh=True)
         self.assertTrue(listener.error.sent)
 
-    def test_a_refused_connection_did_not_send(self):
+    def test_refused_connection_fails_as_not_sent(self):
         self.listening.close()
-        listener = self.answer()
+        listener = self.send_and_wait()
         self.assertFalse(listener.error.sent)
 
-    def test_an_address_that_does_not_answer_times_out(self):
+    def test_unaccepted_connection_times_out_as_not_sent(self):
         full = socket.socket()
         full.bind(("127.0.0.1", 0))
         full.listen(0)
@@ -141,66 +141,66 @@
             filler.connect_ex(full.getsockname())
             fillers.append(filler)
         self.address = full.getsockname()
-        listener = self.answer(connect_timeout=0.2)
+        listener = self.send_and_wait(connect_timeout=0.2)
         self.assertFalse(listener.error.sent)
         for sock in [full, *fillers]:
             sock.close()
 
-    def test_silence_after_the_request_times_out_as_sent(self):
+    def test_missing_response_times_out_as_sent(self):
         thread = threading.Thread(target=self.listening.accept, daemon=True)
         thread.start()
-        listener = self.answer(timeout=0.2)
+        listener = self.send_and_wait(timeout=0.2)
         self.assertTrue(listener.error.sent)
 
-    def test_garbage_is_an_error(self):
+    def test_invalid_response_is_an_error(self):
         self.serve(b"garbage\r\n\r\n")
-        self.assertIn("bad answer", str(self.answer().error))
+        self.assertIn("bad answer", str(self.send_and_wait().error))
 
-    def test_an_answer_cut_short_is_an_error(self):
+    def test_truncated_response_is_an_error(self):
         self.serve(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi")
-        self.assertIsNotNone(self.answer().error)
+        self.assertIsNotNone(self.send_and_wait().error)
 
-    def test_a_paced_answer_comes_whole(self):
+    def test_paced_response_is_complete(self):
         parts = b"".join(b"1\r\n%d\r\n" % (n % 10) for n in range(50))
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         self.serve(head + parts + b"0\r\n\r\n")
-        self.assertEqual(50, len(self.answer(paced=True).body))
+        self.assertEqual(50, len(self.send_and_wait(paced=True).body))
 
-    def test_a_cancelled_exchange_says_nothing_more(self):
+    def test_cancelled_exchange_does_not_call_its_listener(self):
         self.serve(OK)
         listener = Listener()
         request = transport.HttpRequest(
             address=self.address, method="GET", path="/"
         )
         self.http.send(request, listener).cancel()
-        self.turn(50)
+        self.run_loop(50)
         self.assertFalse(listener.settled)
 
 
-class SilenceTest(LoopCase):
-    """Which kept connections are not used after one was silent.
+class UnresponsiveConnectionsTest(LoopCase):
+    """Which idle connections are closed after one did not respond.
 
-    Seen with a stand-in: all open connections acknowledged what came and
-    never answered, and each kept one cost another call its time-out.
+    When all open connections acknowledged data but never responded, each
+    reuse of an idle one cost another request its timeout.
     """
 
-    def keep(self, count):
-        """Leave some connections kept, whose servers fall silent then."""
+    def leave_idle(self, count):
+        """Leave ``count`` idle connections that won't respond again."""
         threads = []
         listeners = []
         for _ in range(count):
-            threads.append(self.serve_once_and_hold())
+            threads.append(self.serve_once_without_closing())
             listeners.append(self.send(fresh=True))
-        self.turn_until(lambda: all(item.done for item in listeners))
-        self.assertEqual(count, self.kept)
+        self.run_loop_until(lambda: all(item.done for item in listeners))
+        self.assertEqual(count, self.idle_count)
 
     @property
-    def kept(self):
-        """Number of kept connections."""
+    def idle_count(self):
+        """Number of idle connections."""
         return len(self.http._idle_by_address.get(self.address, ()))
 
-    def serve_once_and_hold(self):
-        """Answer one request, and nothing after it."""
+    def serve_once_without_closing(self):
+        """Answer one request, and keep the connection open in silence."""
 
         def run():
             connection, _peer = self.listening.accept()
@@ -212,57 +212,57 @@
         thread.start()
         return thread
 
-    def test_a_time_out_makes_the_older_ones_suspect(self):
-        self.keep(4)
-        self.assertIsNotNone(self.answer(timeout=0.2).error)
+    def test_timeout_closes_older_idle_connections(self):
+        self.leave_idle(4)
+        self.assertIsNotNone(self.send_and_wait(timeout=0.2).error)
         self.serve(OK)
-        self.assertEqual(b"hi", self.answer(timeout=2.0).body)
+        self.assertEqual(b"hi", self.send_and_wait(timeout=2.0).body)
 
-    def test_while_it_is_overdue_others_go_on_new_ones(self):
-        self.keep(4)
+    def test_overdue_response_moves_others_to_new_connections(self):
+        self.leave_idle(4)
         waiting = self.send(timeout=2.0, silent_after=0.1)
-        self.turn(20)
+        self.run_loop(20)
         self.assertFalse(waiting.settled)
         self.serve(OK)
-        self.assertEqual(b"hi", self.answer(timeout=1.0).body)
+        self.assertEqual(b"hi", self.send_and_wait(timeout=1.0).body)
 
-    def test_one_that_has_answered_since_is_kept(self):
-        self.keep(2)
+    def test_connection_that_became_idle_later_is_kept(self):
+        self.leave_idle(2)
         silent = self.send(timeout=0.4)
-        self.turn(2)
+        self.run_loop(2)
         self.serve(OK, OK)
-        self.answer(fresh=True)
-        self.turn_until(lambda: silent.settled)
-        self.assertEqual(1, self.kept)
+        self.send_and_wait(fresh=True)
+        self.run_loop_until(lambda: silent.settled)
+        self.assertEqual(1, self.idle_count)
 
-    def test_a_caller_that_leaves_soon_proves_nothing(self):
-        self.keep(3)
+    def test_early_cancel_keeps_idle_connections(self):
+        self.leave_idle(3)
         request = transport.HttpRequest(
             address=self.address, method="GET", path="/"
         )
         exchange = self.http.send(request, Listener())
-        self.turn(2)
+        self.run_loop(2)
         exchange.cancel()
-        self.assertEqual(2, self.kept)
+        self.assertEqual(2, self.idle_count)
 
 
 class TimersTest(LoopCase):
-    """Calls that are due later."""
+    """Scheduled and repeated calls."""
 
-    def test_order_cancel_and_failures(self):
+    def test_order_cancellation_and_exceptions(self):
         calls = []
         self.timers.call_later(0.02, calls.append, "second")
         self.timers.call_later(0.01, calls.append, "first")
         self.timers.call_later(0.01, calls.append, "never").cancel()
         with self.assertLogs("postspring.transport.timers", "ERROR"):
             self.timers.call_later(0.0, lambda: 1 / 0)
-            self.turn_until(lambda: len(calls) == 2)
+            self.run_loop_until(lambda: len(calls) == 2)
         self.assertEqual(["first", "second"], calls)
 
-    def test_repeating_until_cancelled(self):
+    def test_repeated_call_runs_until_cancelled(self):
         calls = []
         handle = self.timers.call_every(0.001, lambda: calls.append(1))
-        self.turn_until(lambda: len(calls) == 3)
+        self.run_loop_until(lambda: len(calls) == 3)
         handle.cancel()
-        self.turn(20)
+        self.run_loop(20)
         self.assertEqual(3, len(calls))
--- a/postspring/transport/tests/test_http_server.py
+++ b/postspring/transport/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""The server's connections: what they owe before they are closed."""
+"""How the server closes connections, and which ends it reports."""
 
 import socket
 import unittest
@@ -11,11 +11,13 @@
 
 
 class ServerCase(unittest.TestCase):
-    """A server whose loop is turned by hand."""
+    """A server whose event loop the test runs."""
 
     def setUp(self):
-        self.cuts = []
-        self.edge = callers_edge.CallersEdge(on_interrupted=self.cuts.append)
+        self.interrupted = []
+        self.edge = callers_edge.CallersEdge(
+            on_interrupted=self.interrupted.append
+        )
         self.addCleanup(self.edge.close)
         self.caller = self.edge.connect()
 
@@ -26,20 +28,20 @@
         return self.edge.calls.pop()
 
     def answer_call(self, body=b""):
-        """Send a request and have it answered."""
+        """Send a request and wait for its complete response."""
         self.open_call().respond(200, [], body)
         self.edge.turn_until(lambda: self.caller.answer.whole)
 
     @property
     def is_closed(self):
-        """Whether the server has no connection any more."""
+        """Whether the server has no open connection."""
         return not self.edge.callers.connection_count
 
 
-class IdleTest(ServerCase):
-    """An idle connection's close does not race with a request."""
+class IdleCloseTest(ServerCase):
+    """Closing an idle connection does not lose a request."""
 
-    def test_a_request_of_a_pause_is_served(self):
+    def test_request_that_arrived_during_a_pause_is_served(self):
         self.answer_call()
         self.edge.ask(self.caller)
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
@@ -48,7 +50,7 @@
         self.edge.turn_until(lambda: self.caller.answer.settled)
         self.assertTrue(self.caller.answer.whole)
 
-    def test_the_rest_of_a_request_of_a_pause_is_read(self):
+    def test_partial_request_is_completed_after_a_pause(self):
         self.caller.send_raw(b"POST / HTTP/1.1\r\nHost: a\r\n")
         self.edge.turn()
         self.caller.send_raw(b"Content-Length: 2\r\n\r\nab")
@@ -56,20 +58,20 @@
         self.edge.turn_until(lambda: self.edge.calls or self.is_closed)
         self.assertEqual(b"ab", self.edge.calls[0].body)
 
-    def test_one_that_stays_idle_is_closed(self):
+    def test_idle_connection_is_closed(self):
         self.answer_call()
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
         self.edge.turn_until(lambda: self.caller.answer.closed)
-        self.assertEqual([], self.cuts)
+        self.assertEqual([], self.interrupted)
 
-    def test_one_that_sends_too_slowly_is_told(self):
+    def test_slow_request_gets_status_408(self):
         self.caller.send_raw(b"POST / HTTP/1.1\r\nHost: a\r\n")
         self.edge.turn()
         self.edge.pass_time(self.edge.limits.header_seconds + 1)
         self.edge.turn_until(lambda: self.caller.received)
         self.assertIn(b"408", self.caller.received)
 
-    def test_one_whose_answer_has_not_left_is_not_idle(self):
+    def test_connection_with_unsent_response_is_not_idle(self):
         self.open_call().respond(200, [], b"x" * LONG_ANSWER_BYTES)
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
         self.edge.turn(50)
@@ -79,8 +81,8 @@
         self.edge.turn_until(lambda: self.edge.calls or self.is_closed)
         self.assertEqual(1, len(self.edge.calls))
 
-    def test_it_is_idle_from_when_its_answer_has_left(self):
-        """Seen beside load: closed as soon as the long answer had left."""
+    def test_idle_time_starts_when_response_is_sent(self):
+        """It was once closed, under load, right after its long response."""
         self.open_call().respond(200, [], b"x" * LONG_ANSWER_BYTES)
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
         self.edge.turn(50)
@@ -92,10 +94,10 @@
         self.assertEqual(1, len(self.edge.calls))
 
 
-class RefusedBodyTest(ServerCase):
-    """The answer to a body that is not read to its end is not lost."""
+class RejectedBodyTest(ServerCase):
+    """The response to a body that is not read to its end is not lost."""
 
-    def test_a_caller_that_goes_on_sending_has_the_answer(self):
+    def test_caller_that_sends_on_receives_the_rejection(self):
         head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n"
         data = memoryview(head % LONG_BODY_BYTES + b"x" * LONG_BODY_BYTES)
         sock = socket.create_connection(self.edge.callers.address)
@@ -111,12 +113,12 @@
             return not data
 
         self.edge.turn_until(sent)
-        # All that is left to read: without it the reset is not seen.
+        # The server has to read everything; else a reset could go unnoticed.
         self.edge.turn_until(lambda: self.edge.callers.unread_count == 0)
         sock.setblocking(True)
         self.assertTrue(sock.recv(1000).startswith(b"HTTP/1.1 413"))
 
-    def test_one_that_never_ends_is_closed_after_a_while(self):
+    def test_lingering_connection_is_closed_after_a_timeout(self):
         self.caller.send_raw(b"GET / HTTP/1.1\r\nno field\r\n\r\n")
         self.edge.turn_until(lambda: self.caller.received)
         self.edge.turn()
@@ -126,14 +128,14 @@
 
 
 class HalfClosedTest(ServerCase):
-    """A caller that stops sending.
+    """A caller that shuts its sending side down.
 
-    Seen: a caller that shut its sending side behind its request had
-    nothing.  That is decided so: it can't be told from one that closed, and
-    work for a caller that closed has to end within half a second.
+    After it does so behind an open request, it gets no response.  This is by
+    design: a half-close can't be distinguished from a close, after which
+    work for the caller has to end within half a second.
     """
 
-    def test_a_request_that_is_open_is_broken_off(self):
+    def test_open_request_is_aborted(self):
         call = self.open_call()
         gone = []
         call.on_gone = lambda: gone.append(True)
@@ -142,32 +144,35 @@
         self.assertTrue(call.gone)
         self.assertEqual(
             [(transport.EndedBy.CALLER, call, 0)],
-            [(cut.ended_by, cut.call, cut.unsent) for cut in self.cuts],
+            [
+                (interruption.ended_by, interruption.call, interruption.unsent)
+                for interruption in self.interrupted
+            ],
         )
 
-    def test_an_answer_that_was_given_leaves_whole(self):
+    def test_complete_response_is_sent_to_its_end(self):
         self.open_call().respond(200, [], b"x" * LONG_ANSWER_BYTES)
         self.caller.end_sending()
         self.edge.turn(20)
         self.edge.turn_until(lambda: self.caller.answer.settled)
         self.assertTrue(self.caller.answer.whole)
         self.edge.turn_until(lambda: self.is_closed)
-        self.assertEqual([], self.cuts)
+        self.assertEqual([], self.interrupted)
 
 
-class CutTest(ServerCase):
-    """Who ended a connection on which something was owed."""
+class InterruptedResponseTest(ServerCase):
+    """Which side ended a connection with an incomplete response."""
 
-    def test_a_caller_that_leaves_with_its_answer_unsent(self):
+    def test_caller_that_closes_with_unsent_response(self):
         call = self.open_call()
         call.respond(200, [], b"x" * LONG_ANSWER_BYTES)
         self.caller.close()
-        self.edge.turn_until(lambda: self.cuts)
-        cut = self.cuts[0]
-        self.assertIs(call, cut.call)
-        self.assertGreater(cut.unsent, 0)
+        self.edge.turn_until(lambda: self.interrupted)
+        interruption = self.interrupted[0]
+        self.assertIs(call, interruption.call)
+        self.assertGreater(interruption.unsent, 0)
 
-    def test_an_answer_that_is_broken_off(self):
+    def test_aborted_response(self):
         call = self.open_call()
         call.start(200, [])
         call.abort()
@@ -175,11 +180,14 @@
         self.assertFalse(self.caller.answer.whole)
         self.assertEqual(
             [(transport.EndedBy.VM, call)],
-            [(cut.ended_by, cut.call) for cut in self.cuts],
+            [
+                (interruption.ended_by, interruption.call)
+                for interruption in self.interrupted
+            ],
         )
 
-    def test_nothing_is_owed_behind_a_whole_answer(self):
+    def test_close_after_complete_response_is_not_reported(self):
         self.answer_call(b"x" * LONG_ANSWER_BYTES)
         self.caller.close()
         self.edge.turn_until(lambda: self.is_closed)
-        self.assertEqual([], self.cuts)
+        self.assertEqual([], self.interrupted)
--- a/postspring/transport/tests/test_windows.py
+++ b/postspring/transport/tests/test_windows.py
@@ -1,11 +1,10 @@
-"""A machine that is alive and does not read for a while.
-
-Seen on loopback: the other side read only after 2.5 s, and the sender had
-ETIMEDOUT after 1.1 s.  Cause: the bound on bytes that nobody acknowledges
-(TCP_USER_TIMEOUT) also counts while the other side's window is closed, though
-it answers each probe; an upstream, the store or a VM that was busy for a
-second while it was sent a long request looked like a path that is gone.
-Proof: these tests.
+"""Sending to a peer that is alive but does not read for a while.
+
+On loopback, a peer that read only after 2.5 s once caused ETIMEDOUT at the
+sender after 1.1 s.  The limit on unacknowledged bytes (TCP_USER_TIMEOUT) also
+applies while the peer's receive window is closed, although it answers each
+probe: an upstream, the store or a VM that was busy for a second during a long
+request looked like a failed network path.
 """
 
 import socket
@@ -16,151 +15,164 @@
 from postspring.transport.tests import test_http_client
 from postspring.transport import windows
 
-BUSY_SECONDS = 2.5
+READ_DELAY_SECONDS = 2.5
 BODY = b"x" * 3_000_000
 # More than the kernel takes from a sender at once.
 LONG_BODY = b"x" * 16_000_000
 
 
-class LateReaderCase(test_http_client.LoopCase):
-    """A long request to one that does not read for a while."""
+class SlowReaderCase(test_http_client.LoopCase):
+    """A long request to a peer that does not read for a while."""
 
     def setUp(self):
         super().setUp()
         self.listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16384)
 
-    def begin(self, body=BODY, **options):
-        """Send a long request to one that does not read yet."""
+    def start_request(self, body=BODY, **options):
+        """Send a long request to a peer that does not read yet."""
         listener = self.send(method="POST", body=body, **options)
-        self.turn_until(lambda: self.hub._handler_by_socket)
+        self.run_loop_until(lambda: self.hub._handler_by_socket)
         server, _peer = self.listening.accept()
         self.addCleanup(server.close)
-        self.turn_for(BUSY_SECONDS)
+        self.run_loop_for(READ_DELAY_SECONDS)
         return listener, server
 
-    def turn_for(self, seconds):
-        """Turn the loop for a while."""
+    def run_loop_for(self, seconds):
+        """Run the event loop for this many seconds."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            self.turn(1)
+            self.run_loop(1)
 
 
-class ClosedWindowTest(LateReaderCase):
-    """A long request to one that reads late, or never."""
+class ClosedWindowTest(SlowReaderCase):
+    """A long request to a peer that reads late, or never."""
 
     def read_and_answer(self, server):
-        """Read the whole request, then answer it."""
+        """Read the complete request, then answer it."""
         left = len(BODY)
         while left > 0 and (data := server.recv(1 << 16)):
             left -= len(data)
         server.sendall(test_http_client.OK)
 
-    def test_one_that_reads_late_is_not_gone(self):
-        listener, server = self.begin(timeout=30.0)
+    def test_peer_that_reads_late_gets_the_request(self):
+        listener, server = self.start_request(timeout=30.0)
         thread = threading.Thread(
             target=self.read_and_answer, args=(server,), daemon=True
         )
         thread.start()
-        self.turn_until(lambda: listener.settled)
+        self.run_loop_until(lambda: listener.settled)
         self.assertIsNone(listener.error)
         self.assertEqual(b"hi", listener.body)
 
-    def test_one_that_never_reads_is_bounded_by_the_call(self):
-        listener, _server = self.begin(timeout=2.0)
-        self.turn_until(lambda: listener.settled)
+    def test_peer_that_never_reads_times_out(self):
+        listener, _server = self.start_request(timeout=2.0)
+        self.run_loop_until(lambda: listener.settled)
         self.assertIn("timeout", str(listener.error))
         self.assertFalse(listener.error.is_unreachable)
 
 
-class BrokenOffTest(LateReaderCase):
-    """A long request that is broken off while the other side doesn't read.
+class AbortedRequestTest(SlowReaderCase):
+    """A long request that is aborted while the peer doesn't read.
 
-    By reading: what was unsent followed all the same once the other side read
-    again, up to 30 s later since its pause is borne; an upstream then began
-    work for a caller that had left, or that ran elsewhere by then.
+    Unsent bytes were once still sent when the peer read again, up to 30 s
+    later, which is how long a closed window is tolerated.  An upstream then
+    started work for a caller that had left, or whose request ran elsewhere.
     """
 
-    def test_the_rest_does_not_follow(self):
-        listener, server = self.begin(LONG_BODY, timeout=2.0)
-        self.turn_until(lambda: listener.settled)
-        came = []
+    def test_unsent_bytes_are_discarded(self):
+        listener, server = self.start_request(LONG_BODY, timeout=2.0)
+        self.run_loop_until(lambda: listener.settled)
+        received_sizes = []
         server.setblocking(False)
 
-        def is_read():
+        def read_all():
             try:
                 data = server.recv(1 << 20)
             except BlockingIOError:
                 return False
             except ConnectionResetError:
                 return True
-            came.append(len(data))
+            received_sizes.append(len(data))
             return not data
 
-        self.turn_until(is_read)
-        self.assertLess(sum(came), len(LONG_BODY))
+        self.run_loop_until(read_all)
+        self.assertLess(sum(received_sizes), len(LONG_BODY))
 
 
-CLOSED = windows.SendState(probes=1, unacknowledged=0, unsent=100)
-UNDER_WAY = windows.SendState(probes=0, unacknowledged=3, unsent=100)
-UNANSWERED = windows.SendState(probes=2, unacknowledged=0, unsent=100)
-DONE = windows.SendState(probes=0, unacknowledged=0, unsent=0)
+CLOSED_WINDOW = windows.SendState(probes=1, unacknowledged=0, unsent=100)
+IN_FLIGHT = windows.SendState(probes=0, unacknowledged=3, unsent=100)
+UNANSWERED_PROBES = windows.SendState(probes=2, unacknowledged=0, unsent=100)
+ALL_ACKNOWLEDGED = windows.SendState(probes=0, unacknowledged=0, unsent=0)
 
 
-class WindowWatchTest(test_http_client.LoopCase):
-    """When the bound is lifted, and when it is back."""
+class SendWindowMonitorTest(test_http_client.LoopCase):
+    """When the limit is extended, and when it is restored."""
 
-    def bounds_after(self, *states):
-        """Return the connection's bound after each look, in ms."""
+    def limits_after_checks(self, *states):
+        """Return the connection's limit after each check, in ms."""
         left = list(states)
-        watch = windows.SendWindowMonitor(
+        monitor = windows.SendWindowMonitor(
             self.timers, lambda sock: left.pop(0)
         )
         sock = socket.socket()
         self.addCleanup(sock.close)
-        watch.set_ack_timeout(sock)
-        watch.watch(sock)
-        bounds = []
+        monitor.set_ack_timeout(sock)
+        monitor.watch(sock)
+        limits = []
         for _ in states:
             count = len(left)
-            self.turn_until(lambda: len(left) < count)
-            bounds.append(
+            self.run_loop_until(lambda: len(left) < count)
+            limits.append(
                 sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
             )
-        self.assertIs(states[-1] in (None, DONE), not watch._watch_by_socket)
-        return bounds
+        self.assertIs(
+            states[-1] in (None, ALL_ACKNOWLEDGED),
+            not monitor._watch_by_socket,
+        )
+        return limits
 
-    def test_it_is_lifted_while_the_window_is_closed(self):
-        bounds = self.bounds_after(UNDER_WAY, CLOSED, CLOSED, UNDER_WAY)
-        self.assertEqual([800, 30000, 30000, 800], bounds)
+    def test_limit_is_extended_while_the_window_is_closed(self):
+        limits = self.limits_after_checks(
+            IN_FLIGHT, CLOSED_WINDOW, CLOSED_WINDOW, IN_FLIGHT
+        )
+        self.assertEqual([800, 30000, 30000, 800], limits)
 
-    def test_unanswered_probes_bring_it_back(self):
-        self.assertEqual([30000, 800], self.bounds_after(CLOSED, UNANSWERED))
+    def test_unanswered_probes_restore_the_limit(self):
+        self.assertEqual(
+            [30000, 800],
+            self.limits_after_checks(CLOSED_WINDOW, UNANSWERED_PROBES),
+        )
 
-    def test_what_arrived_is_not_looked_at_any_more(self):
-        self.assertEqual([30000, 800], self.bounds_after(CLOSED, DONE))
+    def test_acknowledged_connection_is_not_checked_again(self):
+        self.assertEqual(
+            [30000, 800],
+            self.limits_after_checks(CLOSED_WINDOW, ALL_ACKNOWLEDGED),
+        )
 
-    def test_it_stays_where_the_kernel_does_not_tell(self):
-        self.assertEqual([800], self.bounds_after(None))
+    def test_unavailable_state_keeps_the_limit(self):
+        self.assertEqual([800], self.limits_after_checks(None))
 
-    def test_accepted_connections_have_none(self):
-        watch = windows.SendWindowMonitor(self.timers, lambda sock: CLOSED)
+    def test_accepted_connections_are_not_monitored(self):
+        monitor = windows.SendWindowMonitor(
+            self.timers, lambda sock: CLOSED_WINDOW
+        )
         sock = socket.socket()
         self.addCleanup(sock.close)
-        watch.watch(sock)
-        self.assertEqual({}, watch._watch_by_socket)
+        monitor.watch(sock)
+        self.assertEqual({}, monitor._watch_by_socket)
 
 
-class ReadTest(unittest.TestCase):
-    """What is believed of the kernel's state."""
+class ReadSendStateTest(unittest.TestCase):
+    """Which kernel data is accepted as a state of sending."""
 
-    def test_an_open_connection(self):
+    def test_established_connection(self):
         with (
             socket.create_server(("127.0.0.1", 0)) as listening,
             socket.create_connection(listening.getsockname()) as sock,
         ):
             self.assertTrue(windows.read_send_state(sock).is_all_acknowledged)
 
-    def test_anything_else_says_nothing(self):
+    def test_other_sockets_have_no_state(self):
         one, other = socket.socketpair()
         with one, other, socket.socket() as unconnected:
             self.assertIsNone(windows.read_send_state(one))
