--- a/postspring/platform/__init__.py
+++ b/postspring/platform/__init__.py
@@ -1,8 +1,8 @@
-"""Platform: the names, formats and calls of the users' platform.
+"""Adapter of the users' platform: its names, formats and calls.
 
-Nothing in this package decides, and nothing outside it knows the platform's
-names.  It decodes what comes into the project's own types, once, and
-encodes what goes out.
+This package makes no decisions.  It decodes incoming data into the project's
+own types, once, and encodes outgoing data.  The names on the platform's wire
+are used in no other package.
 """
 
 from postspring.platform.documents import CONFIGURATION_KEY
--- a/postspring/platform/documents.py
+++ b/postspring/platform/documents.py
@@ -1,4 +1,4 @@
-"""Documents in the store: the configuration, and upstreams' entries."""
+"""Decoders of the store's documents: configuration, upstreams' entries."""
 
 import enum
 import json
@@ -20,23 +20,24 @@
 
 CONFIGURATION_KEY = names.CONFIGURATION_KEY
 
-_KIND_BY_WORD = {
+_CALL_KIND_BY_NAME = {
     "safe": routing.CallKind.IDEMPOTENT,
     "unsafe": routing.CallKind.ONCE,
     "keyed": routing.CallKind.ONCE,
     "stream": routing.CallKind.STREAM,
 }
 _DEFAULT_TIMEOUT_MS = 30_000
-# Far above any batch or start: more than these are no figures of an upstream.
-_MOST_SLOTS = 1_000_000
-_LONGEST_WARM_UP_MS = 3_600_000
-_HIGHEST_PORT = 65_535
-# Far above any key, rate or rank that an operator writes.
-_LONGEST_KEY = 4096
-_MOST_REQUESTS = 1e9
-_LAST_RANK = 1_000_000
-# Characters of an error's text that go into a log line.
-_LONGEST_ERROR = 300
+# Far above the batch size and start time of any upstream: larger values are
+# invalid.
+_MAX_SLOTS = 1_000_000
+_MAX_WARM_UP_MS = 3_600_000
+_MAX_PORT = 65_535
+# Far above any key length, rate and priority that an operator configures.
+_MAX_KEY_LENGTH = 4096
+_MAX_REQUESTS = 1e9
+_MAX_PRIORITY = 1_000_000
+# Characters of an error's text that are kept, as it is logged in one line.
+_MAX_ERROR_LENGTH = 300
 
 
 def decode_snapshot(data: bytes) -> routing.Snapshot:
@@ -45,7 +46,7 @@
     Raises
     ------
     ConfigurationError
-        If it is not one.
+        If ``data`` is not a valid configuration.
     """
     try:
         raw = json.loads(data)
@@ -67,7 +68,7 @@
         ValueError,
     ) as error:
         text = f"configuration: {type(error).__name__}: {error}"
-        raise errors.ConfigurationError(text[:_LONGEST_ERROR]) from error
+        raise errors.ConfigurationError(text[:_MAX_ERROR_LENGTH]) from error
 
 
 def _route(raw: dict) -> routing.Route:
@@ -76,10 +77,10 @@
         name=str(raw["name"]),
         host=str(raw["host"]),
         prefix=str(raw["path_prefix"]),
-        kind=_KIND_BY_WORD.get(raw["kind"], routing.CallKind.ONCE),
+        kind=_CALL_KIND_BY_NAME.get(raw["kind"], routing.CallKind.ONCE),
         shares=_shares(raw),
         timeout=timeout_ms / 1000,
-        # the time within which an answer has its full credit
+        # responses within this time receive full credit
         objective=float(raw.get("target_latency_ms") or timeout_ms) / 1000,
         max_attempts=max(1, int(raw.get("max_attempts") or 1)),
         priority=int(raw.get("priority") or 0),
@@ -119,7 +120,7 @@
 
 
 def _workspaces(raw: Any) -> workspaces.WorkspaceDirectory | None:
-    """Return the workspaces, or None if callers need no keys."""
+    """Return the workspaces, or None if callers need no API keys."""
     if raw is None:
         return None
     tenants = msgspec.convert(raw, list[_Tenant])
@@ -131,7 +132,9 @@
 def _workspace(tenant: "_Tenant") -> workspaces.Workspace:
     limit = None
     if not (math.isfinite(tenant.rate_per_s) and math.isfinite(tenant.burst)):
-        raise ValueError(f"workspace {tenant.name!r}: a limit is no number")
+        raise ValueError(
+            f"workspace {tenant.name!r}: rate_per_s or burst is not finite"
+        )
     if tenant.rate_per_s:
         limit = workspaces.RateLimit(tenant.rate_per_s, tenant.burst)
     return workspaces.Workspace(
@@ -161,8 +164,8 @@
     Raises
     ------
     UpstreamError
-        If it is none that an upstream writes: fields that are missing, of
-        another type or out of bounds, or bytes that can't be read.
+        If the entry is invalid: fields are missing, of the wrong type or
+        out of bounds, or the bytes can't be decoded.
     """
     try:
         entry = _entry_decoder.decode(data)
@@ -178,18 +181,18 @@
         )
     except (RecursionError, ValueError) as error:
         text = f"entry of {upstream}: {type(error).__name__}: {error}"
-        raise errors.UpstreamError(text[:_LONGEST_ERROR]) from error
+        raise errors.UpstreamError(text[:_MAX_ERROR_LENGTH]) from error
 
 
 def _address(text: str) -> tuple[str, int]:
-    """Return where an upstream listens; it has an IP number and a port."""
+    """Return the IPv4 address and port that an upstream listens on."""
     host, port = settings.split_address(text)
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError as error:
-        raise ValueError(f"{host!r} is no IP number") from error
-    if not 0 < port <= _HIGHEST_PORT:
-        raise ValueError(f"{port} is no port")
+        raise ValueError(f"{host!r} is not an IPv4 address") from error
+    if not 0 < port <= _MAX_PORT:
+        raise ValueError(f"{port} is not a port number")
     return host, port
 
 
@@ -198,45 +201,50 @@
     DRAINING = "draining"
 
 
-_Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-_Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
+_ShortText = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 
 
 class _Entry(msgspec.Struct):
-    """An upstream's entry as it stands in the store.
+    """An upstream's entry in the format of the store.
 
-    Upstreams write more fields, which have no use here.  ``born`` is left
-    out where each start has a new id.
+    Further fields that upstreams write are ignored.  ``born`` is missing
+    where an upstream gets a new id at each start.
     """
 
-    service: _Text
-    address: _Text
-    zone: _Text
+    service: _ShortText
+    address: _ShortText
+    zone: _ShortText
     version: str
-    slots: Annotated[int, msgspec.Meta(ge=1, le=_MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
     state: _EntryState
     warmup_remaining_ms: Annotated[
-        float, msgspec.Meta(ge=0, le=_LONGEST_WARM_UP_MS)
+        float, msgspec.Meta(ge=0, le=_MAX_WARM_UP_MS)
     ]
-    sequence: _Count
-    born: _Count | None = None
+    sequence: _NonNegativeInt
+    born: _NonNegativeInt | None = None
 
 
 _entry_decoder = msgspec.json.Decoder(_Entry)
 
 
-_Key = Annotated[str, msgspec.Meta(min_length=1, max_length=_LONGEST_KEY)]
-_Number = Annotated[float, msgspec.Meta(ge=0, le=_MOST_REQUESTS)]
+_ApiKey = Annotated[
+    str, msgspec.Meta(min_length=1, max_length=_MAX_KEY_LENGTH)
+]
+_RequestCount = Annotated[float, msgspec.Meta(ge=0, le=_MAX_REQUESTS)]
 
 
 class _Tenant(msgspec.Struct):
-    """A workspace as it stands in the configuration; a rate of 0: no limit.
+    """A workspace in the configuration; a rate of 0 means no limit.
 
-    The library's errors name fields and places, never what stands there.
+    msgspec's errors name a field and its position, but not its value, so
+    that no API key is logged.
     """
 
-    name: _Text
-    api_keys: list[_Key] = msgspec.field(default_factory=list)
-    priority: Annotated[int, msgspec.Meta(ge=0, le=_LAST_RANK)] | None = None
-    rate_per_s: _Number = 0.0
-    burst: _Number = 0.0
+    name: _ShortText
+    api_keys: list[_ApiKey] = msgspec.field(default_factory=list)
+    priority: Annotated[int, msgspec.Meta(ge=0, le=_MAX_PRIORITY)] | None = (
+        None
+    )
+    rate_per_s: _RequestCount = 0.0
+    burst: _RequestCount = 0.0
--- a/postspring/platform/headers.py
+++ b/postspring/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header fields of calls and answers, decoded once."""
+"""Header fields of calls and responses, and their decoding."""
 
 from collections.abc import Iterable
 import math
@@ -10,7 +10,7 @@
 
 __all__ = ["PlatformWireFormat"]
 
-# Fields that concern one connection only, and those that are set anew.
+# Fields of a single connection, and fields that are set again on forwarding.
 _HOP_BY_HOP = frozenset(
     (
         "connection",
@@ -26,7 +26,7 @@
         "upgrade",
     )
 )
-_SYSTEM_ONLY = frozenset(
+_SYSTEM_FIELDS = frozenset(
     name.lower()
     for name in (
         names.CREDENTIAL,
@@ -52,30 +52,32 @@
 
 
 class PlatformWireFormat(forwarding.WireFormat):
-    """The platform's header fields, in both directions."""
+    """Decodes and encodes the platform's header fields."""
 
     def decode_call(self, header: forwarding.HeaderGetter):
-        """Return what a call's header fields say."""
-        prompt_tokens, ceiling = _pair(header(names.TOKEN_USAGE))
+        """Return the content of a call's header fields."""
+        prompt_tokens, ceiling = _parse_integer_pair(header(names.TOKEN_USAGE))
         previous = header(names.PREVIOUS_TURN)
         request = header(names.REQUEST_ID)
         return forwarding.CallFacts(
             request=request,
             turn=histories.TurnId(request),
-            deadline=_seconds(header(names.DEADLINE_MS)),
+            deadline=_parse_milliseconds(header(names.DEADLINE_MS)),
             prompt_tokens=prompt_tokens,
             ceiling=ceiling,
-            prompt_parts=_parts(header(names.PROMPT_PREFIX)),
+            prompt_parts=_parse_prompt_parts(header(names.PROMPT_PREFIX)),
             affinity_key=header(names.AFFINITY_KEY),
             program=histories.ProgramId(header(names.PROGRAM_ID)),
             line=header(names.SESSION_ID),
-            program_deadline=_seconds(header(names.PROGRAM_DEADLINE_MS)),
+            program_deadline=_parse_milliseconds(
+                header(names.PROGRAM_DEADLINE_MS)
+            ),
             budget=transport.integer_in(header(names.TOKEN_BUDGET)),
             previous=histories.TurnId(previous) if previous else None,
         )
 
     def decode_key(self, fields: Fields) -> str:
-        """Return the API key among a call's fields; empty if not just one."""
+        """Return a call's API key; empty unless there is exactly one."""
         keys = [
             value
             for name, value in fields
@@ -83,34 +85,36 @@
         ]
         if len(keys) != 1:
             return ""
-        # bytes beyond ASCII were read one by one
+        # header fields were decoded as Latin-1, byte by byte
         return keys[0].encode("latin-1", "replace").decode("utf-8", "replace")
 
     def decode_workspace(self, header: forwarding.HeaderGetter) -> str:
-        """Return the workspace that another VM has found out."""
+        """Return the workspace that another VM has determined."""
         return header(names.TENANT)
 
     def upstream_fields(self, fields: Fields, extra) -> Fields:
         """Return the header fields to send to an upstream."""
-        kept = _end_to_end(fields, _SYSTEM_ONLY)
+        forwarded = _without_hop_by_hop(fields, _SYSTEM_FIELDS)
         if extra.remaining is not None:
             milliseconds = max(1, int(extra.remaining * 1000))
-            kept.append((names.DEADLINE_MS, str(milliseconds)))
+            forwarded.append((names.DEADLINE_MS, str(milliseconds)))
         if extra.upstream:
-            kept.append((names.TARGET_INSTANCE, extra.upstream))
+            forwarded.append((names.TARGET_INSTANCE, extra.upstream))
         if extra.workspace:
-            kept.append((names.TENANT, extra.workspace))
+            forwarded.append((names.TENANT, extra.workspace))
         if extra.urgency is not None:
-            kept.append((names.URGENCY, str(extra.urgency)))
+            forwarded.append((names.URGENCY, str(extra.urgency)))
         if extra.last_event is not None:
-            kept = [item for item in kept if item[0].lower() != _LAST_EVENT]
-            kept.append((names.LAST_EVENT_ID, str(extra.last_event)))
+            forwarded = [
+                item for item in forwarded if item[0].lower() != _LAST_EVENT
+            ]
+            forwarded.append((names.LAST_EVENT_ID, str(extra.last_event)))
         if extra.weights:
-            kept.append((names.EXPECTED_VERSION, extra.weights))
-        return kept
+            forwarded.append((names.EXPECTED_VERSION, extra.weights))
+        return forwarded
 
     def decode_answer(self, status: int, headers: dict[str, str]):
-        """Return what an upstream's answer says, names in lower case."""
+        """Return the content of a response's headers, names in lower case."""
         return forwarding.AnswerFacts(
             request=headers.get(names.REQUEST_ID.lower(), ""),
             not_run=(names.NOT_EXECUTED.lower() in headers or status == 421),
@@ -121,7 +125,7 @@
         )
 
     def decode_event(self, event: bytes):
-        """Return what a whole event of a stream says.
+        """Return the number and weights of a complete stream event.
 
         Examples
         --------
@@ -139,12 +143,12 @@
         return forwarding.EventFacts(number, weights)
 
     def caller_fields(self, fields: Fields, sealed: bool) -> Fields:
-        """Return the header fields of an upstream's answer to pass on."""
+        """Return the header fields of an upstream's response to forward."""
         dropped = frozenset(() if sealed else (names.SERVER_SEAL.lower(),))
-        return _end_to_end(fields, dropped)
+        return _without_hop_by_hop(fields, dropped)
 
     def own_fields(self, request: str, retry_after: float | None) -> Fields:
-        """Return the header fields of an answer of our own."""
+        """Return the header fields of a response that this VM generates."""
         fields = []
         if request:
             fields.append((names.REQUEST_ID, request))
@@ -153,29 +157,31 @@
         return fields
 
 
-def _end_to_end(fields: Iterable, dropped: frozenset) -> Fields:
-    """Return the fields that do not concern one connection only."""
+def _without_hop_by_hop(fields: Iterable, dropped: frozenset) -> Fields:
+    """Return the fields except hop-by-hop ones and ``dropped`` ones."""
     fields = list(fields)
-    named: set[str] = set()
+    connection_options: set[str] = set()
     for name, value in fields:
         if name.lower() == "connection":
-            named.update(token.strip().lower() for token in value.split(","))
+            connection_options.update(
+                token.strip().lower() for token in value.split(",")
+            )
     return [
         (name, value)
         for name, value in fields
         if name.lower() not in _HOP_BY_HOP
         and name.lower() not in dropped
-        and name.lower() not in named
+        and name.lower() not in connection_options
     ]
 
 
-def _seconds(text: str) -> float | None:
-    """Return milliseconds in a header as seconds; None if there are none.
+def _parse_milliseconds(text: str) -> float | None:
+    """Return a header's milliseconds in seconds; None if it is no number.
 
     Examples
     --------
-    >>> _seconds("2500"), _seconds("-1"), _seconds("nan"), _seconds("")
-    (2.5, 0.0, None, None)
+    >>> [_parse_milliseconds(text) for text in ("2500", "-1", "nan", "")]
+    [2.5, 0.0, None, None]
     """
     try:
         seconds = float(text) / 1000 if text else math.nan
@@ -184,15 +190,15 @@
     return max(0.0, seconds) if math.isfinite(seconds) else None
 
 
-def _pair(text: str) -> tuple[int, int]:
+def _parse_integer_pair(text: str) -> tuple[int, int]:
     first, _, second = text.partition(",")
     return transport.integer_in(first.strip()) or 0, transport.integer_in(
         second.strip()
     ) or 0
 
 
-def _parts(text: str) -> tuple[tuple[str, int], ...]:
-    """Return the parts of a prompt: id and tokens of each, in order."""
+def _parse_prompt_parts(text: str) -> tuple[tuple[str, int], ...]:
+    """Return id and token count of each part of a prompt, in order."""
     parts = []
     for item in text.split(","):
         part, _, text = item.strip().rpartition(":")
--- a/postspring/platform/names.py
+++ b/postspring/platform/names.py
@@ -1,4 +1,4 @@
-"""Every name that goes over the wire: headers, calls, topics."""
+"""Names on the wire: headers, paths of calls, topics of the store."""
 
 # -- headers of requests ------------------------------------------------------
 
@@ -6,22 +6,22 @@
 DEADLINE_MS = "Postspring-Deadline-Ms"
 AFFINITY_KEY = "Postspring-Affinity-Key"
 MODEL = "Postspring-Model"
-# "prompt tokens,most output tokens"
+# "PROMPT_TOKENS,MAX_OUTPUT_TOKENS"
 TOKEN_USAGE = "Postspring-Token-Usage"
-# "ID:TOKENS,..." with the parts of the prompt in order
+# "ID:TOKENS,...", the parts of the prompt in order
 PROMPT_PREFIX = "Postspring-Prompt-Prefix"
 LENGTH_HINT = "Postspring-Length-Hint"
 PROGRAM_ID = "Postspring-Program-Id"
-# One line of turns; not an HTTP session.
+# A sequence of turns that continue one another; not an HTTP session.
 SESSION_ID = "Postspring-Session-Id"
 PROGRAM_DEADLINE_MS = "Postspring-Program-Deadline-Ms"
 TOKEN_BUDGET = "Postspring-Token-Budget"
 PREVIOUS_TURN = "Postspring-Previous-Turn"
 LAST_EVENT_ID = "Last-Event-Id"
-# An API key, and nothing else; it is for the system only.
+# Only an API key; it is never forwarded to upstreams.
 CREDENTIAL = "Postspring-Credential"
 
-# -- headers that only the system sets towards engines ------------------------
+# -- headers that only this system sets, in requests to engines ---------------
 
 TARGET_INSTANCE = "Postspring-Target-Instance"
 URGENCY = "Postspring-Request-Urgency"
@@ -31,20 +31,20 @@
 KV_BACKUP = "Postspring-Kv-Backup"
 KV_FROM = "Kv-From"
 KV_FETCH = "Kv-Fetch"
-# Name of the workspace that holds the caller's key.
+# Name of the workspace that the caller's API key belongs to.
 TENANT = "Postspring-Tenant"
 
-# -- headers of answers -------------------------------------------------------
+# -- headers of responses -----------------------------------------------------
 
 NOT_EXECUTED = "Postspring-Not-Executed"
 INSTANCE_ID = "Postspring-Instance-Id"
 SERVER_SEAL = "Postspring-Server-Seal"
-# One integer; in lower case also the first line of the event of a stream at
-# which it changes.
+# One integer.  In lower case it is also the first line of a stream event at
+# which the weights change.
 WEIGHT_VERSIONS = "Postspring-Weight-Versions"
 RETRY_AFTER = "Retry-After"
 
-# -- calls --------------------------------------------------------------------
+# -- paths of calls -----------------------------------------------------------
 
 READINESS_PATH = "/v1/readiness"
 LOG_APPEND_PATH = "/v1/log-append"
--- a/postspring/platform/settings.py
+++ b/postspring/platform/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a process, as the platform lays them on the VM.
+"""Settings of a process, in the file that the platform writes to the VM.
 
 ``deploy/settings.json`` is the template: the platform writes its fields as
-JSON.  Fields that are not known here are ignored.
+JSON.  Unknown fields are ignored.
 """
 
 from collections.abc import Mapping
@@ -19,42 +19,44 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmSettings:
-    """What a VM is told when it starts; times in seconds.
+    """Settings of a VM at its start; times are in seconds.
 
     Parameters
     ==========
 
     callers, readiness : tuple of (str, int)
-        Where to listen for callers, and for the balancer's question.
+        Addresses to listen on for callers, and for readiness checks of the
+        load balancer.
     store : tuple of (str, int)
-        The platform's store.
+        Address of the platform's store.
     peers : tuple of (str, int)
-        Where to listen for other VMs.
+        Address to listen on for other VMs.
     partitions : int
-        Partitions of each of the store's topics.
+        Number of partitions of each topic in the store.
     record_bytes, call_bytes : int
-        Most of one record, and of all records of one append.
+        Maximum size of a record, and of all records of one append.
     store_writes : float
-        Appends a second that the store takes from all VMs together.
+        Appends per second that the store accepts from all VMs together.
     seeds : tuple of (str, int)
-        Where some other VMs listen for VMs; they may be gone.
+        Addresses of some other VMs, which may not exist any more.
     drain : float
-        Within this time a leaving upstream gets no more work.
+        Time within which a leaving upstream must stop receiving calls.
     heartbeat : float
-        How often upstreams write their entries.
+        Interval at which upstreams write their entries.
     configuration : float
-        Within this time a new configuration is in force.
+        Time within which a new configuration must take effect.
     key_removal : float or None
-        Within this time a key that was taken away lets nothing run any more,
-        whatever this VM can reach; None: it is a change like others.
+        Time within which a removed API key must stop admitting requests,
+        also while this VM is isolated; None if the removal is treated like
+        any other change.
     limit_span : float
-        Seconds over which requests are counted against a limit.
+        Window in which requests are counted against a rate limit.
     data_centers : int
-        Data centres that have VMs.
+        Number of data centres with VMs.
     grace : float
         Time from SIGTERM to SIGKILL.
     max_files : int
-        Files that the process may open, connections too; 0: not told.
+        Limit of open files, connections included; 0 if unknown.
     """
 
     vm: str
@@ -81,13 +83,13 @@
 
 
 def load_settings(environment: Mapping[str, str]) -> VmSettings:
-    """Read the settings file that the environment names.
+    """Read the settings file that an environment variable names.
 
     Raises
     ------
     SettingsError
-        If there is no such file, or if fields are missing or wrong; the
-        text names the file and the field.
+        If the variable or the file is missing, or if fields are missing or
+        invalid; the text names the file and the field.
     """
     path = environment.get(names.SETTINGS_VARIABLE)
     if not path:
@@ -106,7 +108,7 @@
 
 
 def decode_settings(raw: dict) -> VmSettings:
-    """Return the settings in the platform's fields."""
+    """Decode the settings from the platform's JSON document."""
     listen = raw["listen"]
     store = raw["platform"]
     bounds = raw["bounds"]
@@ -119,7 +121,7 @@
         store=split_address(store["address"]),
         partitions=int(store["parts"]),
         record_bytes=int(store["record_bytes"]),
-        # VMs reach each other where the platform's seeds point to
+        # the seeds name the VMs' control addresses, so VMs listen there
         peers=split_address(listen["control"]),
         drain=float(bounds["drain_ms"]) / 1000,
         configuration=float(bounds["config_ms"]) / 1000,
@@ -144,7 +146,7 @@
 
 
 def split_address(text: str) -> Address:
-    """Return host and port of ``IP:PORT``.
+    """Split ``IP:PORT`` into host and port.
 
     Examples
     --------
--- a/postspring/platform/store.py
+++ b/postspring/platform/store.py
@@ -1,7 +1,7 @@
-"""The platform's store: a log with keyed topics, over HTTP.
+"""Client of the platform's store: a log with keyed topics, over HTTP.
 
-Numbers in its answers are big-endian; bodies of appends and reads are raw
-records, everything else is JSON.
+Bodies of appends and reads are binary records with big-endian numbers; all
+other bodies are JSON.
 """
 
 import base64
@@ -19,20 +19,20 @@
 
 __all__ = ["Store", "pack_records", "unpack_records"]
 
-# Answers take 4 ms, and up to 60 times that while the store is slow.
+# Responses take 4 ms, and up to 60 times that while the store is slow.
 APPEND_TIMEOUT_SECONDS = 1.2
 READ_TIMEOUT_SECONDS = 1.2
 CONNECT_TIMEOUT_SECONDS = 0.5
-# Above a slow answer, and before another way is tried (0.3 s), so that the
-# next try does not meet another connection that is silent.
+# Longer than a slow response, and shorter than the delay before the next
+# attempt (0.3 s), so that it does not reuse another unresponsive connection.
 SILENT_SECONDS = 0.28
-# Bytes of records that one read asks for, in KiB.
-READ_KB = 1024
-# Told to another VM when its call had no answer.
-NO_ANSWER_STATUS = 502
+# Size of the records that one read requests.
+READ_KIBIBYTES = 1024
+# Returned to another VM when its relayed call got no response.
+BAD_GATEWAY = 502
 
-# What reading an answer of another form ends in.
-_BAD_ANSWER_ERRORS = (
+# Errors that decoding a malformed response can raise.
+_INVALID_RESPONSE_ERRORS = (
     AttributeError,
     LookupError,
     OverflowError,
@@ -68,7 +68,7 @@
     Raises
     ------
     LogUnavailable
-        If a record is cut off.
+        If a record is truncated.
 
     Examples
     --------
@@ -86,28 +86,28 @@
         if position > len(data) or not length:
             raise keyedlog.LogUnavailable("cut_record")
         content = data[start:position]
-        split = 1 + content[0]
-        key = content[1:split].decode("utf-8", "replace")
-        entries.append(keyedlog.LogEntry(key, content[split:]))
+        key_end = 1 + content[0]
+        key = content[1:key_end].decode("utf-8", "replace")
+        entries.append(keyedlog.LogEntry(key, content[key_end:]))
     return entries
 
 
 class Store(keyedlog.KeyedLog):
-    """The one client of the platform's store.
+    """Client of the platform's store.
 
     Parameters
     ==========
 
     http : HttpClient
-        Carries the calls.
+        Sends the calls.
     address : tuple of (str, int)
-        The store's.
+        IP address and port of the store.
     partitions : int
-        Partitions of each topic.
+        Number of partitions of each topic.
     on_call : callable, optional
-        Told the name and the outcome of every call, for counters.
+        Called with the name and the outcome of every call, for metrics.
     path_prefix : str
-        Stands before each path, for calls that another VM passes on.
+        Prefix of each path, for calls that another VM relays.
     """
 
     def __init__(
@@ -125,20 +125,20 @@
         self._on_call = on_call
 
     def move_to(self, address: tuple[str, int]) -> None:
-        """Call the store at another address from now on."""
+        """Send all further calls to another address."""
         self._address = address
 
     def append(self, place, entries, on_done, on_error) -> None:
-        """Append records, all or none."""
+        """Append records atomically."""
         path = self._path(names.LOG_APPEND_PATH, place)
         request = self._request(
             "POST", path, APPEND_TIMEOUT_SECONDS, pack_records(entries)
         )
 
-        def answered(body: bytes) -> None:
+        def on_response(body: bytes) -> None:
             on_done(int(json.loads(body)["offset"]))
 
-        self._call("append", request, answered, on_error)
+        self._call("append", request, on_response, on_error)
 
     def read(self, place, start, on_page, on_error, wait=0.0) -> None:
         """Read records from an offset."""
@@ -147,7 +147,7 @@
             place,
             {
                 "from": start,
-                "max_kb": READ_KB,
+                "max_kb": READ_KIBIBYTES,
                 "wait_ms": round(wait * 1000),
             },
         )
@@ -156,29 +156,31 @@
             request, silent_after=SILENT_SECONDS + wait
         )
 
-        def answered(body: bytes) -> None:
+        def on_response(body: bytes) -> None:
             end, first = _OFFSETS.unpack_from(body)
             if start < first:
-                raise keyedlog.LogExpired(f"{start} is before {first}")
+                raise keyedlog.LogExpired(
+                    f"offset {start} is before the first offset {first}"
+                )
             entries = unpack_records(body[_OFFSETS.size :])
             next_offset = start + len(entries)
             known_after = 0.0 if entries else wait
             on_page(keyedlog.LogPage(entries, next_offset, end, known_after))
 
-        self._call("read", request, answered, on_error)
+        self._call("read", request, on_response, on_error)
 
     def read_newest(self, place, on_page, on_error) -> None:
-        """Read the newest record of each key, page by page."""
-        _NewestRead(self, place, on_page, on_error).start()
+        """Read the newest record of each key; pages are collected first."""
+        _NewestRecordsRead(self, place, on_page, on_error).start()
 
-    def call_newest(
+    def read_newest_page(
         self,
         place: keyedlog.LogPlace,
         after: str,
         on_answer: Callable[[dict], None],
         on_error: Callable[[keyedlog.KeyedLogError], None],
     ) -> None:
-        """Read one page of the newest records, behind a key."""
+        """Read one page of the newest records, after the key ``after``."""
         query = {"after": after} if after else {}
         path = self._path(names.LOG_NEWEST_PATH, place, query)
         request = self._request("GET", path, READ_TIMEOUT_SECONDS)
@@ -196,10 +198,10 @@
         body: bytes,
         on_answer: Callable[[int, bytes], None],
     ) -> None:
-        """Make another VM's call; status 502 if there is no answer."""
+        """Relay a call of another VM; status 502 if there is no response."""
         request = self._request(method, path, READ_TIMEOUT_SECONDS, body)
         collector = transport.AnswerCollector(
-            on_answer, lambda error: on_answer(NO_ANSWER_STATUS, b"")
+            on_answer, lambda error: on_answer(BAD_GATEWAY, b"")
         )
         self._http.send(request, collector)
 
@@ -208,12 +210,12 @@
     def _path(
         self, path: str, place: keyedlog.LogPlace, query: dict | None = None
     ) -> str:
-        topic, part = self._topic(place)
+        topic, part = self._topic_and_part(place)
         values = {"topic": topic, "part": part, **(query or {})}
         query_text = urllib.parse.urlencode(values)
         return f"{self._path_prefix}{path}?{query_text}"
 
-    def _topic(self, place: keyedlog.LogPlace) -> tuple[str, int]:
+    def _topic_and_part(self, place: keyedlog.LogPlace) -> tuple[str, int]:
         if place.subject is keyedlog.Subject.CONFIGURATION:
             return names.OPERATOR_TOPIC, 0
         if place.subject is keyedlog.Subject.UPSTREAMS:
@@ -240,43 +242,45 @@
         )
 
     def _call(self, name, request, on_answer, on_error) -> None:
-        """Make a call; turn what goes wrong into the log's errors."""
+        """Send a call; report failures as errors of the keyed log."""
 
-        def fail(error: keyedlog.KeyedLogError) -> None:
+        def report_error(error: keyedlog.KeyedLogError) -> None:
             self._on_call(name, getattr(error, "reason", "expired"))
             on_error(error)
 
-        def answered(status: int, body: bytes) -> None:
+        def on_response(status: int, body: bytes) -> None:
             if status == 410:
-                fail(keyedlog.LogExpired("the records expired"))
+                report_error(keyedlog.LogExpired("the records expired"))
                 return
             if status == 429:
-                fail(keyedlog.LogBusy("status_429"))
+                report_error(keyedlog.LogBusy("status_429"))
                 return
             if status != 200:
-                fail(keyedlog.LogUnavailable(f"status_{status}"))
+                report_error(keyedlog.LogUnavailable(f"status_{status}"))
                 return
             try:
                 on_answer(body)
             except keyedlog.KeyedLogError as error:
-                fail(error)
-            except _BAD_ANSWER_ERRORS:
-                fail(keyedlog.LogUnavailable("bad_answer"))
+                report_error(error)
+            except _INVALID_RESPONSE_ERRORS:
+                report_error(keyedlog.LogUnavailable("bad_answer"))
             else:
                 self._on_call(name, "ok")
 
-        def failed(error: errors.TransportError) -> None:
+        def on_transport_error(error: errors.TransportError) -> None:
             reason = "no_answer" if error.sent else "no_connection"
-            fail(keyedlog.LogUnavailable(reason))
+            report_error(keyedlog.LogUnavailable(reason))
 
-        self._http.send(request, transport.AnswerCollector(answered, failed))
+        self._http.send(
+            request, transport.AnswerCollector(on_response, on_transport_error)
+        )
 
 
-class _NewestRead:
-    """All pages of the newest records of a partition.
+class _NewestRecordsRead:
+    """Reads all pages of the newest records of a partition.
 
-    Pages are no snapshot: reading goes on from the end that the first page
-    named, so that nothing in between is missed.
+    The pages are not a snapshot.  The caller continues reading from the end
+    offset in the first page, so that later records are not missed.
     """
 
     def __init__(self, store: Store, place, on_page, on_error):
@@ -288,19 +292,19 @@
         self._end: int | None = None
 
     def start(self, after: str = "") -> None:
-        """Read the page behind a key."""
-        self._store.call_newest(
-            self._place, after, self._answered, self._on_error
+        """Read the page after the key ``after``, or the first one."""
+        self._store.read_newest_page(
+            self._place, after, self._on_page_read, self._on_error
         )
 
-    def _answered(self, answer: dict) -> None:
+    def _on_page_read(self, answer: dict) -> None:
         if self._end is None:
             self._end = int(answer["end"])
         key = ""
         for item in answer["items"]:
             key = item["key"]
             if not isinstance(key, str):
-                raise TypeError("a key is no text")
+                raise TypeError("a key is not a string")
             value = base64.b64decode(item["value"] or "")
             entry = keyedlog.LogEntry(key, value)
             self._items.append((int(item["offset"]), entry))
--- a/postspring/platform/tests/test_decoders.py
+++ b/postspring/platform/tests/test_decoders.py
@@ -1,7 +1,7 @@
-"""Everything that is read from outside: any input is survived.
+"""Decoders of external input accept or reject any input in a defined way.
 
-Each decoder gives what it reads or raises its own layer's error.  Inputs are
-any bytes, and documents of the right shape with any values in them.
+Each decoder returns a result or raises only the error of its own layer.  The
+inputs are arbitrary bytes, and well-formed documents with arbitrary values.
 """
 
 import json
@@ -37,11 +37,11 @@
     max_leaves=6,
 )
 PACKED_VALUES = VALUES | strategies.binary(max_size=8)
-# Header fields are latin-1; digits of other scripts are in it as well.
+# Header fields are Latin-1, which has digits other than 0-9.
 HEADER_TEXT = strategies.text(
     strategies.characters(max_codepoint=255), max_size=20
 ) | strategies.text("0123456789²,.:-einfa", max_size=12)
-DEEP = 100_000
+DEEP_NESTING = 100_000
 
 ENTRY = {
     "service": "s",
@@ -56,55 +56,59 @@
 }
 
 
-def spoilt(document, draw):
+def replace_one_value(document, draw):
     """Return a document with one of its values replaced, at any depth."""
     if isinstance(document, dict) and document:
         key = draw(strategies.sampled_from(sorted(document)))
-        return document | {key: spoilt(document[key], draw)}
+        return document | {key: replace_one_value(document[key], draw)}
     if isinstance(document, list) and document:
         index = draw(strategies.integers(0, len(document) - 1))
-        changed = spoilt(document[index], draw)
+        changed = replace_one_value(document[index], draw)
         return [*document[:index], changed, *document[index + 1 :]]
     return draw(VALUES)
 
 
-class DecoderCase(unittest.TestCase):
-    """Checks one call."""
+class DecoderTestCase(unittest.TestCase):
+    """Calls one decoder and checks how it fails."""
 
-    def survive(self, error, decode, *arguments):
-        """Let a decoder read something; only its own error may come."""
+    def assert_only_raises(self, error, decode, *arguments):
+        """Call a decoder, which may raise only ``error``."""
         try:
             decode(*arguments)
         except error:
             pass
 
 
-class DocumentTest(DecoderCase):
+class StoreDocumentTest(DecoderTestCase):
     """Upstreams' entries and the configuration."""
 
     @hypothesis.given(strategies.binary(max_size=100))
     def test_any_bytes(self, data):
-        self.survive(
+        self.assert_only_raises(
             errors.UpstreamError, platform.decode_announcement, "i", data
         )
-        self.survive(errors.ConfigurationError, platform.decode_snapshot, data)
+        self.assert_only_raises(
+            errors.ConfigurationError, platform.decode_snapshot, data
+        )
 
     @hypothesis.given(strategies.data())
-    def test_a_spoilt_entry(self, data):
-        raw = json.dumps(spoilt(ENTRY, data.draw)).encode()
-        self.survive(
+    def test_entry_with_a_replaced_value(self, data):
+        raw = json.dumps(replace_one_value(ENTRY, data.draw)).encode()
+        self.assert_only_raises(
             errors.UpstreamError, platform.decode_announcement, "i", raw
         )
 
     @hypothesis.given(strategies.data())
-    def test_a_spoilt_configuration(self, data):
-        document = spoilt(fleet.default_configuration(), data.draw)
+    def test_configuration_with_a_replaced_value(self, data):
+        document = replace_one_value(fleet.default_configuration(), data.draw)
         raw = json.dumps(document).encode()
-        self.survive(errors.ConfigurationError, platform.decode_snapshot, raw)
+        self.assert_only_raises(
+            errors.ConfigurationError, platform.decode_snapshot, raw
+        )
 
 
-class PeerTest(DecoderCase):
-    """What other VMs write and send."""
+class PeerMessageTest(DecoderTestCase):
+    """Messages and records of other VMs."""
 
     TYPES = (
         messages.FindRequest,
@@ -120,10 +124,12 @@
     def test_messages(self, values):
         data = cbor2.dumps(values)
         for cls in self.TYPES:
-            self.survive(errors.PeerError, messages.decode, cls, data)
+            self.assert_only_raises(
+                errors.PeerError, messages.decode, cls, data
+            )
 
     @hypothesis.given(PACKED_VALUES | strategies.lists(PACKED_VALUES))
-    def test_members_entries(self, value):
+    def test_member_entries(self, value):
         entry = keyedlog.LogEntry("vm", cbor2.dumps(value))
         members._decode(entry)
 
@@ -132,7 +138,7 @@
         strategies.lists(PACKED_VALUES, min_size=2, max_size=2),
         PACKED_VALUES,
     )
-    def test_members_entries_of_the_right_length(self, vm, address, port):
+    def test_member_entries_of_the_right_length(self, vm, address, port):
         for value in (address, [vm, port], {vm: port}, port):
             data = cbor2.dumps([vm, vm, value, value])
             members._decode(keyedlog.LogEntry("vm", data))
@@ -143,25 +149,31 @@
     )
     def test_records(self, kind, values):
         data = cbor2.dumps([kind, *values])
-        self.survive(histories.MalformedRecord, histories.decode_record, data)
+        self.assert_only_raises(
+            histories.MalformedRecord, histories.decode_record, data
+        )
 
-    def test_nested_too_deep(self):
-        data = b"\x81" * DEEP + b"\x00"
+    def test_too_deep_nesting(self):
+        data = b"\x81" * DEEP_NESTING + b"\x00"
         members._decode(keyedlog.LogEntry("vm", data))
-        self.survive(errors.PeerError, messages.decode, messages.Found, data)
-        self.survive(histories.MalformedRecord, histories.decode_record, data)
+        self.assert_only_raises(
+            errors.PeerError, messages.decode, messages.Found, data
+        )
+        self.assert_only_raises(
+            histories.MalformedRecord, histories.decode_record, data
+        )
 
 
-class HeaderTest(DecoderCase):
-    """Header fields of calls and answers, and events."""
+class HeaderFieldTest(DecoderTestCase):
+    """Header fields of calls and responses, and stream events."""
 
     @hypothesis.given(HEADER_TEXT)
-    def test_calls_and_answers(self, text):
+    def test_calls_and_responses(self, text):
         wire = platform.PlatformWireFormat()
         wire.decode_call(lambda name: text)
         wire.decode_answer(200, {names.WEIGHT_VERSIONS.lower(): text})
 
-    def test_numbers_that_are_none(self):
+    def test_invalid_numbers(self):
         wire = platform.PlatformWireFormat()
         for text in ("²", "9" * 5000, "nan", "1e400"):
             with self.subTest(text[:5]):
@@ -177,58 +189,58 @@
     def test_events(self, event):
         platform.PlatformWireFormat().decode_event(event)
 
-    def test_an_event_with_an_endless_number(self):
+    def test_event_with_too_long_number(self):
         event = b"id: " + b"9" * 5000 + b"\ndata: x\n\n"
         facts = platform.PlatformWireFormat().decode_event(event)
         self.assertIsNone(facts.number)
 
 
-class StoreAnswerTest(DecoderCase):
-    """What the store answers: each call ends, one way or the other."""
+class StoreResponseTest(DecoderTestCase):
+    """Each call of the store ends once, whatever the response is."""
 
     PLACE = keyedlog.LogPlace(keyedlog.Subject.MEMBERS, 0)
 
-    def answers(self, data):
-        """Return a client of a store that answers everything with this."""
+    def store_that_responds(self, data):
+        """Return a client of a store that responds with ``data``."""
 
         class Http:
-            """Answers at once."""
+            """Responds at once."""
 
             @staticmethod
             def send(request, listener):
-                """Answer."""
+                """Respond."""
                 listener.head(200, {})
                 listener.data(data)
                 listener.end()
 
         return store.Store(Http, ("10.0.0.1", 80), 24)
 
-    def check(self, data):
-        """Make each call, and count its ends."""
-        client = self.answers(data)
+    def assert_calls_end_once(self, data):
+        """Make each call, and check that one callback is called once."""
+        client = self.store_that_responds(data)
         calls = (
-            lambda *ends: client.append(self.PLACE, [], *ends),
-            lambda *ends: client.read(self.PLACE, 0, *ends),
-            lambda *ends: client.read_newest(self.PLACE, *ends),
+            lambda *callbacks: client.append(self.PLACE, [], *callbacks),
+            lambda *callbacks: client.read(self.PLACE, 0, *callbacks),
+            lambda *callbacks: client.read_newest(self.PLACE, *callbacks),
         )
         for call in calls:
-            ended = []
-            call(ended.append, ended.append)
-            self.assertEqual(1, len(ended))
+            outcomes = []
+            call(outcomes.append, outcomes.append)
+            self.assertEqual(1, len(outcomes))
 
     @hypothesis.given(strategies.binary(max_size=80))
     def test_any_bytes(self, data):
-        self.check(data)
+        self.assert_calls_end_once(data)
 
     @hypothesis.given(VALUES)
     def test_any_document(self, value):
-        self.check(json.dumps(value).encode())
+        self.assert_calls_end_once(json.dumps(value).encode())
 
     @hypothesis.given(SCALARS, SCALARS, SCALARS, SCALARS)
     def test_documents_of_the_right_shape(self, number, key, value, offset):
         item = {"key": key, "value": value, "offset": offset}
         document = {"offset": number, "end": number, "items": [item]}
-        self.check(json.dumps(document).encode())
+        self.assert_calls_end_once(json.dumps(document).encode())
 
-    def test_nested_too_deep(self):
-        self.check(b"[" * DEEP + b"]" * DEEP)
+    def test_too_deep_nesting(self):
+        self.assert_calls_end_once(b"[" * DEEP_NESTING + b"]" * DEEP_NESTING)
--- a/postspring/platform/tests/test_documents.py
+++ b/postspring/platform/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents in the store."""
+"""Decoding of the configuration and of upstreams' entries."""
 
 import json
 import unittest
@@ -13,7 +13,7 @@
     """The operator's configuration."""
 
     def decode(self, raw):
-        """Decode a document."""
+        """Decode a configuration document."""
         return platform.decode_snapshot(json.dumps(raw).encode())
 
     def test_routes(self):
@@ -33,7 +33,7 @@
         self.assertTrue(safe.may_repeat)
         self.assertFalse(once.may_repeat)
 
-    def test_a_split_by_weight(self):
+    def test_traffic_split_by_weight(self):
         raw = fleet.default_configuration()
         del raw["routes"][0]["service"]
         raw["routes"][0]["traffic_split"] = [
@@ -49,17 +49,17 @@
         self.assertEqual(1_000_000, limits.body_bytes)
         self.assertEqual(15.0, limits.idle_seconds)
 
-    def test_what_is_no_configuration(self):
+    def test_invalid_configurations(self):
         for raw in ([], {}, {"version": 1}, {"version": "x", "routes": []}):
             with self.assertRaises(errors.ConfigurationError):
                 self.decode(raw)
         with self.assertRaises(errors.ConfigurationError):
             platform.decode_snapshot(b"\xff")
 
-    def test_one_that_is_nested_too_deep(self):
-        deep = b'{"version":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
+    def test_too_deeply_nested_configuration(self):
+        deeply_nested = b'{"version":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
         with self.assertRaises(errors.ConfigurationError):
-            platform.decode_snapshot(deep)
+            platform.decode_snapshot(deeply_nested)
 
 
 class AnnouncementTest(unittest.TestCase):
@@ -76,8 +76,8 @@
         "sequence": 4,
     }
 
-    def refuse(self, data):
-        """Check that bytes are no entry."""
+    def assert_rejected(self, data):
+        """Check that ``data`` is rejected as an entry."""
         with self.assertRaises(errors.UpstreamError):
             platform.decode_announcement("i-1", data)
 
@@ -88,24 +88,24 @@
         self.assertTrue(entry.leaving)
         self.assertEqual(0.5, entry.warm_up)
 
-    def test_when_it_was_started(self):
+    def test_start_time(self):
         data = json.dumps(self.RAW | {"born": 1_764_700_000_123}).encode()
         entry = platform.decode_announcement("i-1", data)
         self.assertEqual(1_764_700_000_123, entry.born)
 
-    def test_what_is_none(self):
+    def test_invalid_entries(self):
         for raw in ({}, [], self.RAW | {"address": "x"}):
             with self.assertRaises(errors.UpstreamError):
                 platform.decode_announcement("i-1", json.dumps(raw).encode())
 
-    def test_a_field_that_is_missing(self):
+    def test_missing_field(self):
         for name in self.RAW:
             raw = dict(self.RAW)
             del raw[name]
             with self.subTest(name):
-                self.refuse(json.dumps(raw).encode())
+                self.assert_rejected(json.dumps(raw).encode())
 
-    def test_a_field_of_another_type_or_out_of_bounds(self):
+    def test_field_of_wrong_type_or_out_of_bounds(self):
         wrong = [
             ("service", 5),
             ("service", ""),
@@ -127,11 +127,13 @@
         ]
         for name, value in wrong:
             with self.subTest(name=name, value=value):
-                self.refuse(json.dumps(self.RAW | {name: value}).encode())
-
-    def test_bytes_that_cannot_be_read(self):
-        endless = json.dumps(self.RAW).replace("500", "1e400")
-        deep = b'{"x":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
-        for data in (b"", b"\xff", b"{", endless.encode(), deep):
+                self.assert_rejected(
+                    json.dumps(self.RAW | {name: value}).encode()
+                )
+
+    def test_undecodable_bytes(self):
+        overflowing = json.dumps(self.RAW).replace("500", "1e400")
+        deeply_nested = b'{"x":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
+        for data in (b"", b"\xff", b"{", overflowing.encode(), deeply_nested):
             with self.subTest(data[:20]):
-                self.refuse(data)
+                self.assert_rejected(data)
--- a/postspring/platform/tests/test_headers.py
+++ b/postspring/platform/tests/test_headers.py
@@ -1,4 +1,4 @@
-"""Header fields of calls and answers."""
+"""Header fields of calls and responses."""
 
 import unittest
 
@@ -11,15 +11,15 @@
 
 
 class CallFactsTest(unittest.TestCase):
-    """What a call says of itself."""
+    """Decoding of a call's header fields."""
 
     def decode(self, **values):
-        """Decode a call with these header fields."""
+        """Decode a call; ``values`` are header values by names' constant."""
         by_name = {getattr(names, key): value for key, value in values.items()}
         wire = platform.PlatformWireFormat()
         return wire.decode_call(lambda name: by_name.get(name, ""))
 
-    def test_a_turn(self):
+    def test_turn(self):
         facts = self.decode(
             REQUEST_ID="r",
             DEADLINE_MS="2500",
@@ -34,7 +34,7 @@
         self.assertEqual((("5c", 800), ("91", 410)), facts.prompt_parts)
         self.assertEqual((1088, "q"), (facts.budget, facts.previous))
 
-    def test_nothing(self):
+    def test_call_without_fields(self):
         facts = self.decode()
         self.assertEqual("", facts.request)
         self.assertIsNone(facts.deadline)
@@ -42,7 +42,7 @@
         self.assertIsNone(facts.previous)
 
     @hypothesis.given(strategies.text(max_size=40))
-    def test_any_text_is_survived(self, text):
+    def test_arbitrary_text_does_not_raise(self, text):
         self.decode(
             DEADLINE_MS=text,
             TOKEN_USAGE=text,
@@ -51,13 +51,13 @@
         )
 
 
-class FieldsTest(unittest.TestCase):
-    """What is passed on, and what is not."""
+class ForwardedFieldsTest(unittest.TestCase):
+    """Which header fields are forwarded."""
 
     def setUp(self):
         self.wire = platform.PlatformWireFormat()
 
-    def test_fields_of_one_connection_are_dropped(self):
+    def test_hop_by_hop_fields_are_dropped(self):
         fields = [
             ("Connection", "keep-alive, X-Mine"),
             ("Keep-Alive", "timeout=5"),
@@ -68,7 +68,7 @@
         passed = self.wire.upstream_fields(fields, forwarding.UpstreamExtra())
         self.assertEqual([("X-Other", "2")], passed)
 
-    def test_the_deadline_is_what_is_left(self):
+    def test_deadline_is_the_remaining_time(self):
         extra = forwarding.UpstreamExtra(remaining=1.2345, upstream="i-1")
         fields = [(names.DEADLINE_MS, "9000"), (names.REQUEST_ID, "r")]
         passed = dict(self.wire.upstream_fields(fields, extra))
@@ -76,12 +76,12 @@
         self.assertEqual("i-1", passed[names.TARGET_INSTANCE])
         self.assertEqual("r", passed[names.REQUEST_ID])
 
-    def test_a_seal_goes_only_with_its_answer(self):
+    def test_seal_is_forwarded_only_with_a_sealed_response(self):
         fields = [(names.SERVER_SEAL, "s")]
         self.assertEqual(fields, self.wire.caller_fields(fields, True))
         self.assertEqual([], self.wire.caller_fields(fields, False))
 
-    def test_not_run(self):
+    def test_not_executed(self):
         decode = self.wire.decode_answer
         header = {names.NOT_EXECUTED.lower(): "1"}
         self.assertTrue(decode(503, header).not_run)
--- a/postspring/platform/tests/test_settings.py
+++ b/postspring/platform/tests/test_settings.py
@@ -33,10 +33,10 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Decoding, and errors that name the field."""
+    """Decoding, and errors that name the invalid field."""
 
     def load(self, text):
-        """Load a settings file with this text."""
+        """Load a settings file with the content ``text``."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "boot"
             path.write_text(text)
@@ -51,7 +51,7 @@
         self.assertTrue(loaded.first_start)
         self.assertEqual(8200, loaded.max_files)
 
-    def test_a_missing_field_is_named(self):
+    def test_missing_field_is_named_in_the_error(self):
         for path in (("zone",), ("listen", "ready"), ("platform", "parts")):
             raw = copy.deepcopy(RAW)
             holder = raw
@@ -61,22 +61,22 @@
             with self.assertRaisesRegex(errors.SettingsError, path[-1]):
                 self.load(json.dumps(raw))
 
-    def test_an_address_that_is_none(self):
+    def test_invalid_address(self):
         raw = copy.deepcopy(RAW)
         raw["listen"]["front"] = "nowhere"
         with self.assertRaisesRegex(errors.SettingsError, "nowhere"):
             self.load(json.dumps(raw))
 
-    def test_no_json(self):
+    def test_invalid_json(self):
         with self.assertRaises(errors.SettingsError):
             self.load("{")
 
-    def test_no_variable_and_no_file(self):
+    def test_missing_variable_or_file(self):
         for environment in ({}, {names.SETTINGS_VARIABLE: "/nowhere/x"}):
             with self.assertRaises(errors.SettingsError):
                 platform.load_settings(environment)
 
-    def test_the_template_is_all_fields_as_json(self):
+    def test_template_writes_all_fields_as_json(self):
         root = pathlib.Path(settings.__file__).parents[2]
         template = (root / "deploy" / "settings.json").read_text()
         self.assertEqual("{{.|json}}", template.strip())
--- a/postspring/platform/tests/test_store.py
+++ b/postspring/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Records in the store's format, and fuzzing of what is read."""
+"""Records in the store's format, and fuzzing of their decoder."""
 
 import unittest
 
@@ -20,19 +20,19 @@
     """Packing and unpacking."""
 
     @hypothesis.given(ENTRIES)
-    def test_what_is_packed_is_unpacked(self, entries):
+    def test_round_trip(self, entries):
         packed = store.pack_records(entries)
         self.assertEqual(entries, store.unpack_records(packed))
 
     @hypothesis.given(strategies.binary(max_size=200))
-    def test_any_bytes_give_records_or_one_error(self, data):
+    def test_arbitrary_bytes_give_records_or_log_unavailable(self, data):
         try:
             store.unpack_records(data)
         except keyedlog.LogUnavailable:
             pass
 
     @hypothesis.given(ENTRIES.filter(bool), strategies.integers(1, 4))
-    def test_a_cut_record_is_an_error(self, entries, cut):
+    def test_truncated_record_is_an_error(self, entries, removed_bytes):
         packed = store.pack_records(entries)
         with self.assertRaises(keyedlog.LogUnavailable):
-            store.unpack_records(packed[:-cut])
+            store.unpack_records(packed[:-removed_bytes])
