--- a/postspring/codec.py
+++ b/postspring/codec.py
@@ -1,8 +1,8 @@
-"""Typed messages to CBOR and back.
+"""Encoding of typed messages as CBOR.
 
 A :class:`MessageRegistry` maps short kind names to frozen dataclasses.  The
-records in the platform's log and the messages between VMs each have one.
-Validation is pydantic's, the bytes are cbor2's.
+records in the platform's log and the messages between VMs each have their
+own.  pydantic validates messages, and cbor2 encodes them.
 """
 
 from collections.abc import Callable
@@ -29,16 +29,16 @@
     Explanation
     ===========
 
-    An encoded message is a CBOR array ``[kind, fields]``.  Unknown kinds,
-    missing fields and fields of the wrong type are refused with
-    :class:`~postspring.errors.CodecError`; unknown fields are ignored, so
-    that a newer VM may add optional ones.
+    An encoded message is a CBOR array ``[kind, fields]``.  Decoding raises
+    :class:`~postspring.errors.CodecError` for unknown kinds, missing fields
+    and fields of the wrong type.  It ignores unknown fields, so that newer
+    VMs can add optional ones.
 
     Parameters
     ==========
 
     name : str
-        Name of the protocol, used in error texts.
+        Name of the protocol, used in error messages.
 
     Examples
     ========
@@ -76,7 +76,7 @@
         return [kind, self._adapter(kind).dump_python(item)]
 
     def unpack(self, packed: Any) -> Any:
-        """Return the message that :meth:`pack` packed."""
+        """Return the message from the output of :meth:`pack`."""
         try:
             kind, fields = packed
             return self._adapter(kind).validate_python(fields)
@@ -90,7 +90,7 @@
         return cbor2.dumps(self.pack(item))
 
     def decode(self, data: bytes) -> Any:
-        """Return the message in ``data``; raise CodecError if none is."""
+        """Decode CBOR bytes; raise CodecError if they are not a message."""
         try:
             packed = cbor2.loads(data)
         except (cbor2.CBORDecodeError, ValueError, RecursionError) as error:
--- a/postspring/errors.py
+++ b/postspring/errors.py
@@ -1,7 +1,7 @@
-"""Root of the exception tree.
+"""Base classes of postspring's exceptions.
 
-Each layer derives its own branch from :class:`PostspringError` and turns
-the errors of the layer below into its own before they leave it.
+Each layer derives its exceptions from :class:`PostspringError` and converts
+the exceptions of the layer below into its own.
 """
 
 __all__ = [
@@ -19,41 +19,42 @@
 
 
 class PostspringError(Exception):
-    """Any error that postspring raises itself."""
+    """Base class of all exceptions that postspring defines."""
 
 
 class IdentifierError(PostspringError):
-    """An id does not have the form that its kind requires."""
+    """An id does not have the form that its type requires."""
 
 
 class CodecError(PostspringError):
-    """Bytes that are not a message of the expected registry."""
+    """Bytes can't be decoded as a message of the expected registry."""
 
 
 class CommandError(PostspringError):
-    """A text of the command language is wrong; it says where and why."""
+    """A command is invalid; the message says where and why."""
 
 
 class SettingsError(PostspringError):
-    """The settings of a process are wrong; the text names every fault."""
+    """The settings of a process are invalid; the message says why."""
 
 
 class ConfigurationError(PostspringError):
-    """A configuration document is wrong; the text names every fault."""
+    """A configuration is invalid; the message says why."""
 
 
 class TransportError(PostspringError):
-    """A connection could not be made, or broke.
+    """A connection could not be established, or it failed.
 
     Parameters
     ----------
     sent : bool
         Whether any byte of the request may have left this process.  A
-        request with ``sent=False`` certainly did not run.
+        request with ``sent=False`` was certainly not executed.
     is_unreachable : bool
-        Whether the other side's machine does not even acknowledge.
+        Whether the peer's machine could not be reached or did not
+        acknowledge data.
     is_broken : bool
-        Whether the connection ended, by the other side or on the way.
+        Whether the connection was closed by the peer or failed.
     """
 
     def __init__(
@@ -70,12 +71,12 @@
 
 
 class PlatformError(PostspringError):
-    """The platform's log or VM list did not answer as its API says."""
+    """The platform's log or VM list did not respond as specified."""
 
 
 class PeerError(PostspringError):
-    """Another VM could not be reached, or broke the peer protocol."""
+    """Another VM could not be reached, or violated the peer protocol."""
 
 
 class UpstreamError(PostspringError):
-    """An engine, tool or plain service gave no usable answer."""
+    """An upstream's response, or its entry in the store, is unusable."""
--- a/postspring/identifiers.py
+++ b/postspring/identifiers.py
@@ -1,7 +1,7 @@
-"""Typed ids, and the form of a program's id.
+"""Types of ids, and the format of program ids.
 
-A program's id names its home data centre and its slot, so that any VM can
-route a call to the owner without a look-up: ``p-<dc>-<slot>-<random>``.
+A program id contains the program's home data centre and slot, so that any VM
+can route a call to the owner without a lookup: ``p-<dc>-<slot>-<random>``.
 """
 
 import dataclasses
@@ -48,14 +48,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProgramAddress:
-    """Where a program lives: its home data centre and slot."""
+    """The home data centre and the slot of a program."""
 
     data_center: DataCenter
     slot: SlotNumber
 
 
 def new_program_id(data_center: DataCenter, slot: SlotNumber) -> ProgramId:
-    """Return a fresh id for a program at home in that slot.
+    """Return a new id for a program in this data centre and slot.
 
     Examples
     --------
@@ -68,12 +68,12 @@
 
 
 def parse_program_id(program: str) -> ProgramAddress:
-    """Return the address in a program's id.
+    """Return the address that a program id contains.
 
     Raises
     ------
     IdentifierError
-        If the text does not have the form of a program's id.
+        If the text does not have the format of a program id.
     """
     match = _PROGRAM_ID.fullmatch(program)
     if match is None:
--- a/postspring/metrics.py
+++ b/postspring/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, read by a scraper."""
+"""OpenTelemetry metrics for a Prometheus scraper."""
 
 import collections
 from typing import Any
@@ -10,25 +10,26 @@
 
 
 class Metrics:
-    """The instruments of one process.
+    """The metrics of one process.
 
     Explanation
     ===========
 
-    The reader is pulled by ``GET /metrics``, so it needs no thread.  Each
-    reason for a refusal or a retry is an attribute of its counter.
+    Metrics are collected when ``GET /metrics`` is served, so no export
+    thread is needed.  The reason of a refusal or retry is an attribute of
+    its counter.
 
     Parameters
     ==========
 
     is_scraped : bool
-        Whether there is a page to be scraped.  Without one the exporter is
-        not loaded, which saves a VM 3 MB.
+        Whether the process serves a metrics page.  If not, the exporter is
+        not imported, which saves a VM 3 MB of memory.
     """
 
     def __init__(self, is_scraped: bool = True):
-        self._scraped = _Scraped() if is_scraped else None
-        readers = [self._scraped.reader] if is_scraped else []
+        self._exporter = _PrometheusExporter() if is_scraped else None
+        readers = [self._exporter.reader] if is_scraped else []
         self._provider = sdk_metrics.MeterProvider(metric_readers=readers)
         self._meter = self._provider.get_meter("postspring")
         self.refusals = self._counter(
@@ -73,20 +74,20 @@
         )
 
     def refused(self, reason: str, ran: str) -> None:
-        """Count a refusal."""
+        """Count a refused request."""
         self.refusal_counts[reason, ran] += 1
         self.refusals.add(1, {"reason": reason, "ran": ran})
 
     def store_called(self, name: str, outcome: str) -> None:
-        """Count a call to the store."""
+        """Count a call to the platform's store."""
         self.store_calls.add(1, {"call": name, "outcome": outcome})
 
     def entry_refused(self) -> None:
-        """Count an upstream's entry that can't be read."""
+        """Count an upstream's entry that can't be decoded."""
         self.entries_refused.add(1)
 
     def observe(self, name: str, description: str, function: Any) -> None:
-        """Add a gauge; ``function()`` returns its value when scraped."""
+        """Add a gauge whose value ``function()`` returns at each scrape."""
         self._meter.create_observable_gauge(
             f"postspring_{name}",
             callbacks=[lambda options: [api.Observation(function())]],
@@ -94,11 +95,11 @@
         )
 
     def scrape(self) -> bytes:
-        """Return all metrics in the text format of the scraper."""
-        return b"" if self._scraped is None else self._scraped.text()
+        """Return all metrics in Prometheus' text format."""
+        return b"" if self._exporter is None else self._exporter.render()
 
     def close(self) -> None:
-        """Shut the provider down."""
+        """Shut the meter provider down."""
         self._provider.shutdown()
 
     def _counter(self, name: str, description: str):
@@ -107,8 +108,8 @@
         )
 
 
-class _Scraped:
-    """The exporter, loaded when it is needed."""
+class _PrometheusExporter:
+    """The Prometheus exporter, imported only when it is needed."""
 
     def __init__(self):
         from opentelemetry.exporter import prometheus
@@ -120,6 +121,6 @@
             registry=self._registry
         )
 
-    def text(self) -> bytes:
-        """Return all metrics as text."""
+    def render(self) -> bytes:
+        """Return all metrics in Prometheus' text format."""
         return self._client.generate_latest(self._registry)
--- a/postspring/registry.py
+++ b/postspring/registry.py
@@ -1,4 +1,4 @@
-"""Registries of interchangeable behaviour, filled by decorators."""
+"""Registries of interchangeable implementations, filled by decorators."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -15,6 +15,12 @@
 class Registry(Generic[Item]):
     """Implementations of one interface, by name.
 
+    Parameters
+    ==========
+
+    subject : str
+        What is registered, used in error messages.
+
     Examples
     ========
 
--- a/postspring/tests/test_codec.py
+++ b/postspring/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Typed messages to bytes and back."""
+"""Encoding and decoding of typed messages."""
 
 import unittest
 
@@ -12,8 +12,8 @@
 from postspring import peers
 
 
-class RegistryTest(unittest.TestCase):
-    """What a registry refuses."""
+class MessageRegistryTest(unittest.TestCase):
+    """Which messages a registry rejects, and which it ignores in part."""
 
     def test_unknown_kind(self):
         with self.assertRaises(errors.CodecError):
@@ -41,7 +41,7 @@
             registry.register("a")(ownership.Claim)
 
     @hypothesis.given(strategies.binary(max_size=200))
-    def test_any_bytes_are_a_message_or_a_codec_error(self, data):
+    def test_arbitrary_bytes_decode_or_raise_codec_error(self, data):
         for registry in (ownership.slot_records, peers.peer_messages):
             try:
                 registry.decode(data)
--- a/postspring/tests/test_doctests.py
+++ b/postspring/tests/test_doctests.py
@@ -1,4 +1,4 @@
-"""Every doctest of the package, and the README's examples of types."""
+"""Runs the doctests of all modules in the package."""
 
 import doctest
 import importlib
--- a/postspring/tests/test_identifiers.py
+++ b/postspring/tests/test_identifiers.py
@@ -1,4 +1,4 @@
-"""Ids of programs."""
+"""Program ids."""
 
 import unittest
 
@@ -7,24 +7,26 @@
 
 
 class ProgramIdTest(unittest.TestCase):
-    """The form of a program's id."""
+    """The format of program ids."""
 
     def test_round_trip(self):
         program = identifiers.new_program_id("regina-hall", 11)
         address = identifiers.parse_program_id(program)
-        self.assertEqual(("regina-hall", 11), tuple_of(address))
+        self.assertEqual(("regina-hall", 11), as_tuple(address))
 
     def test_ids_differ(self):
-        made = {identifiers.new_program_id("surco", 1) for _ in range(100)}
-        self.assertEqual(100, len(made))
+        program_ids = {
+            identifiers.new_program_id("surco", 1) for _ in range(100)
+        }
+        self.assertEqual(100, len(program_ids))
 
-    def test_other_texts_are_refused(self):
+    def test_malformed_ids_are_rejected(self):
         for text in ("", "p-surco-1", "q-surco-1-" + "a" * 24, "p-S-1-x"):
             with self.subTest(text=text):
                 with self.assertRaises(errors.IdentifierError):
                     identifiers.parse_program_id(text)
 
 
-def tuple_of(address):
-    """Return the parts of an address."""
+def as_tuple(address):
+    """Return the fields of an address as a tuple."""
     return address.data_center, address.slot
