--- a/postspring/platform/store.py
+++ b/postspring/platform/store.py
@@ -135,10 +135,10 @@
             "POST", path, APPEND_TIMEOUT_SECONDS, pack_records(entries)
         )
 
-        def on_response(body: bytes) -> None:
+        def on_body(body: bytes) -> None:
             on_done(int(json.loads(body)["offset"]))
 
-        self._call("append", request, on_response, on_error)
+        self._call("append", request, on_body, on_error)
 
     def read(self, place, start, on_page, on_error, wait=0.0) -> None:
         """Read records from an offset."""
@@ -156,7 +156,7 @@
             request, silent_after=SILENT_SECONDS + wait
         )
 
-        def on_response(body: bytes) -> None:
+        def on_body(body: bytes) -> None:
             end, first = _OFFSETS.unpack_from(body)
             if start < first:
                 raise keyedlog.LogExpired(
@@ -167,17 +167,17 @@
             known_after = 0.0 if entries else wait
             on_page(keyedlog.LogPage(entries, next_offset, end, known_after))
 
-        self._call("read", request, on_response, on_error)
+        self._call("read", request, on_body, on_error)
 
     def read_newest(self, place, on_page, on_error) -> None:
-        """Read the newest record of each key; pages are collected first."""
+        """Read the newest record of each key, as one page by offset."""
         _NewestRecordsRead(self, place, on_page, on_error).start()
 
     def read_newest_page(
         self,
         place: keyedlog.LogPlace,
         after: str,
-        on_answer: Callable[[dict], None],
+        on_document: Callable[[dict], None],
         on_error: Callable[[keyedlog.KeyedLogError], None],
     ) -> None:
         """Read one page of the newest records, after the key ``after``."""
@@ -187,7 +187,7 @@
         self._call(
             "newest",
             request,
-            lambda body: on_answer(json.loads(body)),
+            lambda body: on_document(json.loads(body)),
             on_error,
         )
 
@@ -196,12 +196,12 @@
         method: str,
         path: str,
         body: bytes,
-        on_answer: Callable[[int, bytes], None],
+        on_response: Callable[[int, bytes], None],
     ) -> None:
         """Relay a call of another VM; status 502 if there is no response."""
         request = self._request(method, path, READ_TIMEOUT_SECONDS, body)
         collector = transport.AnswerCollector(
-            on_answer, lambda error: on_answer(BAD_GATEWAY, b"")
+            on_response, lambda error: on_response(BAD_GATEWAY, b"")
         )
         self._http.send(request, collector)
 
@@ -241,7 +241,7 @@
             silent_after=SILENT_SECONDS,
         )
 
-    def _call(self, name, request, on_answer, on_error) -> None:
+    def _call(self, name, request, on_body, on_error) -> None:
         """Send a call; report failures as errors of the keyed log."""
 
         def report_error(error: keyedlog.KeyedLogError) -> None:
@@ -259,7 +259,7 @@
                 report_error(keyedlog.LogUnavailable(f"status_{status}"))
                 return
             try:
-                on_answer(body)
+                on_body(body)
             except keyedlog.KeyedLogError as error:
                 report_error(error)
             except _INVALID_RESPONSE_ERRORS:
@@ -297,18 +297,18 @@
             self._place, after, self._on_page_read, self._on_error
         )
 
-    def _on_page_read(self, answer: dict) -> None:
+    def _on_page_read(self, document: dict) -> None:
         if self._end is None:
-            self._end = int(answer["end"])
+            self._end = int(document["end"])
         key = ""
-        for item in answer["items"]:
+        for item in document["items"]:
             key = item["key"]
             if not isinstance(key, str):
                 raise TypeError("a key is not a string")
             value = base64.b64decode(item["value"] or "")
             entry = keyedlog.LogEntry(key, value)
             self._items.append((int(item["offset"]), entry))
-        if answer.get("more_pages") and key:
+        if document.get("more_pages") and key:
             self.start(key)
             return
         self._items.sort(key=lambda pair: pair[0])
--- a/postspring/transport/files.py
+++ b/postspring/transport/files.py
@@ -43,7 +43,7 @@
 
     Parameters
     ----------
-    most_files : int
+    max_files : int
         Limit of open files that the platform sets; 0 if it is unknown.
     """
     files = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/postspring/transport/http_client.py
+++ b/postspring/transport/http_client.py
@@ -157,7 +157,7 @@
     # -- own ------------------------------------------------------------------
 
     def _retry_on_new_connection(self) -> bool:
-        """Resend an idempotent request if its reused connection was closed."""
+        """Resend an idempotent request after a close without a response."""
         if not self._reused or self._has_response_bytes:
             return False
         if self.request.method not in ("GET", "HEAD", "PUT", "DELETE"):
@@ -376,9 +376,7 @@
             return
         idle = self._idle_by_address.setdefault(address, [])
         seconds = kept_connections.max_idle_seconds(headers)
-        if len(
-            idle
-        ) >= MAX_IDLE_PER_ADDRESS or not kept_connections.is_reusable(
+        if len(idle) >= MAX_IDLE_PER_ADDRESS or not kept_connections.may_reuse(
             connection
         ):
             seconds = 0.0
--- a/postspring/transport/http_messages.py
+++ b/postspring/transport/http_messages.py
@@ -153,7 +153,7 @@
     Parameters
     ==========
 
-    on_answer : callable
+    on_response : callable
         Called with the status and the complete body.
     on_failed : callable
         Called with the error if no complete response arrived.
@@ -161,10 +161,10 @@
 
     def __init__(
         self,
-        on_answer: Callable[[int, bytes], None],
+        on_response: Callable[[int, bytes], None],
         on_failed: Callable[[errors.TransportError], None],
     ):
-        self._on_response = on_answer
+        self._on_response = on_response
         self._on_failed = on_failed
         self._status = 0
         self._body = bytearray()
--- a/postspring/transport/http_server.py
+++ b/postspring/transport/http_server.py
@@ -32,10 +32,10 @@
         Called with each :class:`~.incoming.IncomingCall`.
     limits : incoming.ServerLimits
         Read at each use, so that changes take effect at once.
-    on_refused : callable, optional
+    on_rejected : callable, optional
         Called with the status of each request that could not be read, and
         with 503 for each connection above the limit.
-    on_cut : callable, optional
+    on_interrupted : callable, optional
         Called with a :class:`~.incoming.Cut` for each connection that ends
         while a response is incomplete or partly unsent.
 
@@ -162,8 +162,8 @@
         self.hub.refuse_new()
 
     def _has_room(self) -> bool:
-        bound = self.limits.connections
-        return len(self._connections) < bound or self._close_oldest_idle()
+        limit = self.limits.connections
+        return len(self._connections) < limit or self._close_oldest_idle()
 
     def _close_oldest_idle(self) -> bool:
         """Close the longest idle connection; return whether it was closed."""
--- a/postspring/transport/incoming.py
+++ b/postspring/transport/incoming.py
@@ -121,6 +121,10 @@
     Attributes
     ==========
 
+    gone : bool
+        Whether the caller has disconnected.
+    answered : bool
+        Whether a response was started, or the call was aborted.
     close_after : bool
         Whether the connection is closed after the response, so that the
         caller opens a new one.
--- a/postspring/transport/kept_connections.py
+++ b/postspring/transport/kept_connections.py
@@ -7,8 +7,8 @@
 
 __all__ = [
     "KeptConnection",
-    "is_reusable",
     "max_idle_seconds",
+    "may_reuse",
     "new_connection",
 ]
 
@@ -51,7 +51,7 @@
     )
 
 
-def is_reusable(connection: h11.Connection) -> bool:
+def may_reuse(connection: h11.Connection) -> bool:
     """Return whether both sides are done and no data follows the response."""
     surplus, closed = connection.trailing_data
     return (
@@ -65,8 +65,8 @@
 def max_idle_seconds(headers: dict[str, str]) -> float:
     """Return how long the connection may be kept idle, in seconds.
 
-    A Keep-Alive timeout that is not a number, or has too many digits to be
-    parsed, is ignored.
+    The default applies if the Keep-Alive timeout is not a number or has
+    too many digits to be parsed.
 
     Examples
     --------
--- a/postspring/transport/lingering.py
+++ b/postspring/transport/lingering.py
@@ -28,7 +28,7 @@
     Parameters
     ==========
 
-    before : ConnectionHandler
+    previous_handler : ConnectionHandler
         Handler that had the connection; its callbacks for the end of the
         connection are still called.
     """
--- a/postspring/transport/server_connection.py
+++ b/postspring/transport/server_connection.py
@@ -102,8 +102,8 @@
             self.state_since = self._server.timers.now()
         self._http.receive_data(data)
         limits = self._server.limits
-        ahead, at_end = self._http.trailing_data
-        if len(ahead) > limits.body_bytes + limits.header_bytes:
+        unparsed, at_end = self._http.trailing_data
+        if len(unparsed) > limits.body_bytes + limits.header_bytes:
             self._reject(413)
             return
         self._parse_received()
@@ -175,7 +175,7 @@
         self._finish_response()
 
     def abort(self) -> None:
-        """Close without completing the response; sent parts still leave."""
+        """Close without completing the response; send its buffered part."""
         self._ended_by = incoming.EndedBy.VM
         self._incomplete_call, self.call = self.call, None
         self._is_closing = self._is_interrupted = True
@@ -184,7 +184,7 @@
     # -- from the server ------------------------------------------------------
 
     def close_if_overdue(self, now: float) -> None:
-        """Close the connection if it was idle or sending for too long."""
+        """Close the connection if it is idle or its request is too slow."""
         if not self._is_overdue(now):
             return
         self._server.hub.read_pending(self._sock)
@@ -247,12 +247,12 @@
         if self.call is not None or self._is_closing:
             return False
         limits = self._server.limits
-        bound = limits.idle_seconds
+        limit = limits.idle_seconds
         if self.is_receiving:
-            bound = limits.header_seconds
+            limit = limits.header_seconds
             if self._head is not None:
-                bound = limits.body_seconds
-        return now - self.state_since > bound
+                limit = limits.body_seconds
+        return now - self.state_since > limit
 
     def _close_after_response(self) -> None:
         """Close once the response is sent, without losing it to a reset.
@@ -261,8 +261,11 @@
         """
         self._is_closing = True
         hub = self._server.hub
-        is_whole = self._http.their_state in (h11.DONE, h11.MUST_CLOSE)
-        if is_whole and not hub.has_unread(self._sock):
+        is_request_complete = self._http.their_state in (
+            h11.DONE,
+            h11.MUST_CLOSE,
+        )
+        if is_request_complete and not hub.has_unread(self._sock):
             hub.shut(self._sock)
         else:
             lingering.LingeringClose(
--- a/postspring/transport/sockets.py
+++ b/postspring/transport/sockets.py
@@ -28,8 +28,8 @@
 LOG = logging.getLogger(__name__)
 READ_BYTES = 64 * 1024
 PACE_SECONDS = 0.01
-# Reads that empty a connection's receive buffer; together they hold more than
-# the longest permitted request.
+# Maximum number of reads in one call of read_pending; together they take more
+# than the longest permitted request.
 MAX_READS = 128
 # How long the listener pauses when no descriptor or slot is free, in seconds:
 # connections wait in the kernel's backlog, a delay that callers hardly notice.
--- a/postspring/transport/tests/test_http_server.py
+++ b/postspring/transport/tests/test_http_server.py
@@ -6,7 +6,7 @@
 from postspring.testing import callers_edge
 from postspring import transport
 
-LONG_ANSWER_BYTES = 8_000_000
+LONG_RESPONSE_BYTES = 8_000_000
 LONG_BODY_BYTES = 32_000_000
 
 
@@ -27,7 +27,7 @@
         self.edge.turn_until(lambda: self.edge.calls)
         return self.edge.calls.pop()
 
-    def answer_call(self, body=b""):
+    def complete_call(self, body=b""):
         """Send a request and wait for its complete response."""
         self.open_call().respond(200, [], body)
         self.edge.turn_until(lambda: self.caller.answer.whole)
@@ -42,7 +42,7 @@
     """Closing an idle connection does not lose a request."""
 
     def test_request_that_arrived_during_a_pause_is_served(self):
-        self.answer_call()
+        self.complete_call()
         self.edge.ask(self.caller)
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
         self.edge.turn_until(lambda: self.edge.calls)
@@ -59,7 +59,7 @@
         self.assertEqual(b"ab", self.edge.calls[0].body)
 
     def test_idle_connection_is_closed(self):
-        self.answer_call()
+        self.complete_call()
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
         self.edge.turn_until(lambda: self.caller.answer.closed)
         self.assertEqual([], self.interrupted)
@@ -72,7 +72,7 @@
         self.assertIn(b"408", self.caller.received)
 
     def test_connection_with_unsent_response_is_not_idle(self):
-        self.open_call().respond(200, [], b"x" * LONG_ANSWER_BYTES)
+        self.open_call().respond(200, [], b"x" * LONG_RESPONSE_BYTES)
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
         self.edge.turn(50)
         self.edge.turn_until(lambda: self.caller.answer.settled)
@@ -83,7 +83,7 @@
 
     def test_idle_time_starts_when_response_is_sent(self):
         """It was once closed, under load, right after its long response."""
-        self.open_call().respond(200, [], b"x" * LONG_ANSWER_BYTES)
+        self.open_call().respond(200, [], b"x" * LONG_RESPONSE_BYTES)
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
         self.edge.turn(50)
         self.edge.turn_until(lambda: self.caller.answer.settled)
@@ -151,7 +151,7 @@
         )
 
     def test_complete_response_is_sent_to_its_end(self):
-        self.open_call().respond(200, [], b"x" * LONG_ANSWER_BYTES)
+        self.open_call().respond(200, [], b"x" * LONG_RESPONSE_BYTES)
         self.caller.end_sending()
         self.edge.turn(20)
         self.edge.turn_until(lambda: self.caller.answer.settled)
@@ -165,7 +165,7 @@
 
     def test_caller_that_closes_with_unsent_response(self):
         call = self.open_call()
-        call.respond(200, [], b"x" * LONG_ANSWER_BYTES)
+        call.respond(200, [], b"x" * LONG_RESPONSE_BYTES)
         self.caller.close()
         self.edge.turn_until(lambda: self.interrupted)
         interruption = self.interrupted[0]
@@ -187,7 +187,7 @@
         )
 
     def test_close_after_complete_response_is_not_reported(self):
-        self.answer_call(b"x" * LONG_ANSWER_BYTES)
+        self.complete_call(b"x" * LONG_RESPONSE_BYTES)
         self.caller.close()
         self.edge.turn_until(lambda: self.is_closed)
         self.assertEqual([], self.interrupted)
--- a/postspring/transport/timers.py
+++ b/postspring/transport/timers.py
@@ -147,7 +147,7 @@
         )
 
     def _run_due(self, until: float) -> None:
-        """Run due timers, but start none after ``until``."""
+        """Run due timers; those not started by ``until`` run later."""
         heap = self._heap
         while heap:
             due, _tie, handle = heap[0]
--- a/postspring/transport/windows.py
+++ b/postspring/transport/windows.py
@@ -13,9 +13,9 @@
 
 LOG = logging.getLogger(__name__)
 
-# A connection is closed when sent bytes stay unacknowledged for this long; a
-# partition would otherwise block it for minutes.  A round trip takes a few ms,
-# and a congested link delays packets by up to 500 ms.
+# The kernel closes an outgoing connection when sent bytes stay unacknowledged
+# for this long; a partition would otherwise block it for minutes.  A round
+# trip takes a few ms, and a congested link delays packets by up to 500 ms.
 ACK_TIMEOUT_MILLISECONDS = 800
 # The same limit for a peer that is alive with its receive window closed; the
 # timeouts of the request apply as well.
