--- a/postspring/transport/tests/test_http_server.py
+++ b/postspring/transport/tests/test_http_server.py
@@ -137,10 +137,10 @@
 
     def test_open_request_is_aborted(self):
         call = self.open_call()
-        gone = []
-        call.on_gone = lambda: gone.append(True)
+        notifications = []
+        call.on_gone = lambda: notifications.append(True)
         self.caller.end_sending()
-        self.edge.turn_until(lambda: gone)
+        self.edge.turn_until(lambda: notifications)
         self.assertTrue(call.gone)
         self.assertEqual(
             [(transport.EndedBy.CALLER, call, 0)],
