--- a/postspring/transport/tests/test_http_client.py
+++ b/postspring/transport/tests/test_http_client.py
@@ -200,7 +200,7 @@
         return len(self.http._idle_by_address.get(self.address, ()))
 
     def serve_once_without_closing(self):
-        """Answer one request, and keep the connection open in silence."""
+        """Answer one request, then only keep the connection open."""
 
         def run():
             connection, _peer = self.listening.accept()
--- a/postspring/transport/tests/test_http_server.py
+++ b/postspring/transport/tests/test_http_server.py
@@ -130,9 +130,9 @@
 class HalfClosedTest(ServerCase):
     """A caller that shuts its sending side down.
 
-    After it does so behind an open request, it gets no response.  This is by
-    design: a half-close can't be distinguished from a close, after which
-    work for the caller has to end within half a second.
+    Its open request then gets no response.  This is by design: a half-close
+    can't be distinguished from a close, after which work for the caller has
+    to end within half a second.
     """
 
     def test_open_request_is_aborted(self):
