--- a/postspring/forwarding/__init__.py
+++ b/postspring/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Forwarding: callers' requests to upstreams, and the answers back."""
+"""Forwarding of callers' requests to upstreams, and of the answers."""
 
 from postspring.forwarding.admission import Admission
 from postspring.forwarding.certainty import Certainty
--- a/postspring/forwarding/admission.py
+++ b/postspring/forwarding/admission.py
@@ -1,6 +1,7 @@
-"""Whose a call is, and whether that may be told at all.
+"""Authenticates callers: finds the workspace of a call by its API key.
 
-A call is admitted before anything is charged, asked of other VMs or sent.
+A call is admitted before it is charged, before other VMs are asked about it
+and before it is sent to an upstream.
 """
 
 from collections.abc import Callable
@@ -14,9 +15,9 @@
 
 __all__ = ["Admission"]
 
-# Of the time in which a key that was taken away has to be without effect:
-# calls are admitted by what the log confirmed within this share of it.  The
-# rest is for clocks that run at different speeds.
+# Share of the time within which a revoked key has to lose its effect: a
+# configuration that the log confirmed within this share still admits calls.
+# The rest allows for clocks that run at different speeds.
 ADMISSION_SHARE = 0.9
 
 
@@ -26,21 +27,22 @@
     Explanation
     ===========
 
-    A key that was taken away may let nothing run that is sent later than a
-    bound after that.  A VM that admits a call knows a configuration which
-    the log confirmed at some moment: a key in it was taken away after that
-    moment or not at all.  The call was sent before it is admitted.  So if
-    the confirmation is younger than the bound, the call was sent within the
-    bound of the removal, whatever becomes of the VM or the call afterwards.
+    A call that is sent later than a bound after the removal of its key must
+    not run.  A VM admits a call by a configuration that the log confirmed
+    at some time: a key in this configuration was removed after that time or
+    not at all.  The call was sent before its admission.  So if the
+    confirmation is younger than the bound, the call was sent within the
+    bound after the removal, whatever happens to the VM or the call later.
 
     Parameters
     ==========
 
     confirmed_age : callable
-        Returns the seconds since when the log has confirmed what this VM
-        knows of the configuration; without end if it never has.
+        Returns the seconds since the log last confirmed this VM's
+        configuration; infinite if it never did.
     key_removal : float or None
-        The bound in seconds, if it holds also without the log.
+        The bound in seconds; None if keys stay valid during an outage of
+        the log.
     """
 
     def __init__(
@@ -59,33 +61,33 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether keys may be believed just now."""
+        """Whether the configuration is recent enough to check keys."""
         return self._confirmed_age() < self._longest_age
 
     def find(
         self,
         call: transport.IncomingCall,
         route: routing.Route,
-        known: workspaces.WorkspaceDirectory,
+        directory: workspaces.WorkspaceDirectory,
     ) -> workspaces.Workspace | refusals.Refusal | None:
-        """Return the workspace of a call, or why that can't be told.
+        """Return the workspace of a call, or the refusal.
 
-        None is a caller who needs no key and shows none that counts.
+        None stands for a caller without a valid key on a public route.
         """
         if self._peers.is_relayed(call.header):
-            # Admitted by the VM that took the request, at that moment.
+            # The VM that received the request from the caller admitted it.
             name = self._wire.decode_workspace(call.header)
             if not name and route.is_public:
                 return None
-            found = known.by_name.get(workspaces.WorkspaceName(name))
+            found = directory.by_name.get(workspaces.WorkspaceName(name))
             return found or refusals.Refusal.WORKSPACE_UNKNOWN
         if not route.is_public and not self.is_confirmed:
             return refusals.Refusal.KEYS_UNCONFIRMED
         key = self._wire.decode_key(call.fields)
-        found = known.holder_of(key) if self.is_confirmed else None
+        found = directory.holder_of(key) if self.is_confirmed else None
         if found is not None or route.is_public:
             return found
         if not key and call.header(ports.RELAYED_NAME):
-            # Passed on to a process that had this address before.
+            # Relayed to a process that had this address before.
             return refusals.Refusal.WORKSPACE_UNKNOWN
         return refusals.Refusal.UNKNOWN_KEY
--- a/postspring/forwarding/attempts.py
+++ b/postspring/forwarding/attempts.py
@@ -1,24 +1,40 @@
-"""How often a call may still be sent, and what it has been through."""
+"""Counts the attempts of a call, and decides whether it is retried."""
 
 from postspring.forwarding import refusals
 from postspring import routing
 
 __all__ = ["Attempts"]
 
-# Sends that certainly did not run, after which a call is given up.
-MAX_UNSENT = 4
+# A call is not retried after more attempts than this that did not run.
+MAX_ATTEMPTS_NOT_RUN = 4
 
 
 class Attempts:
-    """Counts a call's sends: those that ran, and those that did not.
+    """Attempts to deliver one call, by whether the upstream ran it.
 
     Parameters
     ==========
 
     route : Route
-        Says whether a call may run more than once, and where.
+        Specifies whether a call may run more than once, and the maximum
+        number of attempts.
     deadline : float
-        Monotonic time after which it is not sent any more.
+        Monotonic time after which the call is not retried.
+
+    Attributes
+    ==========
+
+    tried : set of str
+        Incarnations of the upstreams to which the call was sent.
+    count : int
+        Attempts that ran, may have run, or that an upstream of the service
+        rejected.
+    unsent : int
+        Attempts that certainly did not run.
+    without_entry : int
+        Attempts at upstreams without an entry in the log.
+    may_have_run : bool
+        Whether any attempt ran or may have run.
 
     Examples
     ========
@@ -30,10 +46,10 @@
     >>> attempts = Attempts(route, deadline=4.0)
     >>> attempts.begin("u1")
     >>> attempts.note_unsent()
-    >>> attempts.allow_another(now=0.1)
+    >>> attempts.allows_retry(now=0.1)
     True
     >>> attempts.note_run()
-    >>> attempts.allow_another(now=0.1)
+    >>> attempts.allows_retry(now=0.1)
     False
     """
 
@@ -48,48 +64,48 @@
         self.without_entry = 0
 
     def begin(self, upstream: str, has_entry: bool = True) -> None:
-        """Take note that the call is sent to an upstream."""
+        """Record that the call is sent to an upstream."""
         self.tried.add(upstream)
         self._is_counted = False
         self.without_entry += not has_entry
 
     def note_run(self) -> None:
-        """Take note that the upstream ran it, or may have."""
+        """Record that the upstream ran the call, or may have."""
         self.may_have_run = True
-        self._note()
+        self._count_attempt()
 
     def note_shed(self) -> None:
-        """Take note that the upstream was reached and did not run it."""
+        """Record that the upstream received the call and did not run it."""
         self.unsent += 1
-        self._note()
+        self._count_attempt()
 
     def note_unsent(self) -> None:
-        """Take note that it reached no upstream of the service."""
+        """Record that no upstream of the service received the call."""
         self.unsent += 1
 
-    def allow_another(self, now: float) -> bool:
-        """Return whether the call may be sent once more."""
+    def allows_retry(self, now: float) -> bool:
+        """Return whether the call may be sent again."""
         if self.may_have_run and not self._route.may_repeat:
             return False
         return (
             self.count < self._route.max_attempts
-            and self.unsent <= MAX_UNSENT
+            and self.unsent <= MAX_ATTEMPTS_NOT_RUN
             and now < self._deadline
         )
 
     @property
-    def are_last(self) -> bool:
-        """Whether the send under way is the last that the route allows."""
+    def is_last_attempt(self) -> bool:
+        """Whether the current attempt is the last that the route allows."""
         count = self.count + (not self._is_counted)
         return count >= self._route.max_attempts
 
-    def outcome(self, otherwise: refusals.Refusal) -> refusals.Refusal:
-        """Return why the call is given up; ``otherwise`` if it did not run."""
+    def final_refusal(self, if_not_run: refusals.Refusal) -> refusals.Refusal:
+        """Return the refusal of the call; ``if_not_run`` if it did not run."""
         if self.may_have_run:
             return refusals.Refusal.UNKNOWN_OUTCOME
-        return otherwise
+        return if_not_run
 
-    def _note(self) -> None:
+    def _count_attempt(self) -> None:
         if not self._is_counted:
             self._is_counted = True
             self.count += 1
--- a/postspring/forwarding/budgeted_call.py
+++ b/postspring/forwarding/budgeted_call.py
@@ -1,4 +1,4 @@
-"""Turns as far as budgets go: charged to a program before they run."""
+"""Turns of programs, which are charged to a budget before they run."""
 
 from collections.abc import Callable
 import dataclasses
@@ -18,8 +18,8 @@
 
 __all__ = ["OPEN_TIMEOUT_SECONDS", "BudgetedCall", "TurnServices"]
 
-# How long a turn waits for the journal before other VMs are asked, in
-# seconds; above the slow store's 0.25 s for two calls.
+# How long a turn waits for the journal before this VM asks other VMs; above
+# the 0.25 s that a slow store takes for two calls.
 OPEN_TIMEOUT_SECONDS = 0.6
 
 
@@ -29,19 +29,22 @@
     Explanation
     ===========
 
-    A turn has its ceiling reserved before any upstream sees it, and is
-    settled with what the caller was handed, whatever happens to it.  Its
-    line stays where its prompt is in memory.  It leaves no history, so the
-    end of its answer waits for no record: what it may have used is charged.
+    The ceiling of a turn is reserved before the turn is sent to an upstream,
+    and settled with the tokens that the caller received, whatever happens
+    to the turn.  Turns of one line prefer the upstream that has their
+    prompt in memory.  The turn adds nothing to the history, so the end of
+    the answer does not wait for a record.
 
-    While the log is away, a VM that may spend for the program runs its
-    turns; the others pass them on to it.
+    During an outage of the log, a VM that holds tokens of the program's
+    budget runs its turns; the other VMs relay them to it.  If no VM holds
+    any, this VM may open an offline budget: it spends what is left of the
+    program's budget, and records that when the log is back.
     """
 
     def __init__(
         self,
         dispatcher: dispatch.Dispatcher,
-        shared: "TurnServices",
+        services: "TurnServices",
         call: transport.IncomingCall,
         facts: ports.CallFacts,
         route: routing.Route,
@@ -50,38 +53,38 @@
         outcome: outcome_module.Outcome,
     ):
         super().__init__(dispatcher, call, facts, outcome)
-        self._shared = shared
-        self._journal = shared.journal
+        self._services = services
+        self._journal = services.journal
         self._route = route
         self._tokens_per_event = tokens_per_event
         self._deadline = deadline
         self._ticket: histories.Ticket | None = None
         self._events = 0
         self._closed = False
-        self._tried_home = False
+        self._tried_offline_budget = False
         self._turn = facts.turn
         self._program = facts.program
 
     # -- before it runs -------------------------------------------------------
 
     def start(self) -> None:
-        """Get the right to run."""
-        self._call.on_gone = self._gone
+        """Open the turn, and run it."""
+        self._call.on_gone = self._on_caller_gone
         timers = self._dispatcher.timers
         self._unsent_timer = timers.call_later(
-            self._deadline - timers.now(), self._overdue
+            self._deadline - timers.now(), self._on_deadline
         )
-        if self._is_better_elsewhere:
+        if self._should_redirect_caller:
             self._close(refusals.Refusal.CUT_OFF)
         else:
             self._prepare()
 
     def _prepare(self) -> None:
-        """Do what has to be done before the turn is opened."""
+        """Prepare the turn and open it; here nothing has to be prepared."""
         self._open()
 
-    def _overdue(self) -> None:
-        """Refuse what no upstream was offered; a delivery ends itself."""
+    def _on_deadline(self) -> None:
+        """Refuse a turn without a delivery, which has its own timer."""
         if self.delivery is None and not self._closed:
             self._close(refusals.Refusal.TIMED_OUT_UNSENT)
 
@@ -100,8 +103,8 @@
             facts.budget,
             OPEN_TIMEOUT_SECONDS,
             self._turn_opened,
-            lambda error: self._ask_others(
-                self._begin_home, ports.Question.HOME
+            lambda error: self._query_peers(
+                self._begin_offline_budget, ports.Question.HOME
             ),
         )
 
@@ -114,33 +117,36 @@
         if self._closed:
             self._settle()
         elif state is histories.TurnState.OPEN:
-            self._check_homes()
+            self._check_unsettled()
         elif state is histories.TurnState.REFUSED:
             self._close(refusals.Refusal.BUDGET_SPENT)
         elif state is histories.TurnState.DEFERRED:
-            self._ask_others(self._reserved)
+            self._query_peers(self._refuse_reserved)
         elif state is histories.TurnState.TAKEN and self._is_relayed:
-            # The VM that passed it on has given its own opening up.
+            # The VM that relayed the turn has given up its own opening.
             self._close(refusals.Refusal.JOURNAL_UNAVAILABLE)
         else:
             # The caller used a request id twice.
             self._close(refusals.Refusal.UNKNOWN_OUTCOME)
 
-    def _check_homes(self) -> None:
-        """Run, unless homes used what the log does not charge yet.
+    def _check_unsettled(self) -> None:
+        """Run the turn unless offline budgets spent what it would need.
 
-        When the log was back, turns that other VMs opened in it came before
-        the records of a home: a program got 1,368 tokens of 864.  What was
-        reserved is charged already and needs no question.
+        A VM may open a turn in the log before another VM has recorded what
+        it spent from an offline budget: a program used 1,368 tokens of a
+        budget of 864.  A turn that is charged to a reserve or to an offline
+        budget needs no check, as its tokens are charged already.
         """
-        peers = self._shared.peers
+        peers = self._services.peers
         is_charged = self._ticket.origin is not histories.Origin.LOG
         if is_charged or not peers.may_owe(self._program):
-            self._deliver()
+            self._start_delivery()
             return
-        peers.find(self._facts, self._homes_told, ports.Question.UNSETTLED)
+        peers.find(
+            self._facts, self._unsettled_found, ports.Question.UNSETTLED
+        )
 
-    def _homes_told(self, finding: ports.Finding) -> None:
+    def _unsettled_found(self, finding: ports.Finding) -> None:
         if self._closed:
             self._settle()
         elif not finding.is_refused and self._journal.fits_beside(
@@ -149,13 +155,13 @@
             finding.unsettled,
             finding.home_left,
         ):
-            self._deliver()
+            self._start_delivery()
         else:
             self._outcome.add(others=finding.facts)
-            self._reserved(finding)
+            self._refuse_reserved(finding)
             self._settle()
 
-    def _deliver(self) -> None:
+    def _start_delivery(self) -> None:
         self._unsent_timer.cancel()
         self.delivery = delivery_module.Delivery(
             self._dispatcher,
@@ -167,10 +173,10 @@
         self.delivery.start()
 
     def _outbound_call(self) -> choice.OutboundCall:
-        """Return what is sent, and where it had better go."""
-        place = self._journal.place_of(self._program, self._facts.line)
+        """Return the outgoing call with its preferred upstream."""
+        upstream = self._journal.place_of(self._program, self._facts.line)
         return choice.OutboundCall(
-            self._call, self._facts, self._call.body, place
+            self._call, self._facts, self._call.body, upstream
         )
 
     def _close(self, refusal: refusals.Refusal) -> None:
@@ -178,38 +184,43 @@
         self._unsent_timer.cancel()
         self.refuse(refusal)
 
-    # -- with the help of other VMs -------------------------------------------
+    # -- other VMs ------------------------------------------------------------
 
-    def _ask_others(
+    def _query_peers(
         self,
-        otherwise: Callable[[ports.Finding], None],
+        on_no_target: Callable[[ports.Finding], None],
         question: ports.Question = ports.Question.TAKER,
     ) -> None:
-        """Pass the turn on to a VM that can run it, or go on otherwise."""
+        """Relay the turn to a VM that can run it, or call ``on_no_target``."""
         if self._closed:
             return
-        peers = self._shared.peers
+        peers = self._services.peers
 
         def found(finding: ports.Finding) -> None:
             if self._closed:
                 return
             self._outcome.add(others=finding.facts)
-            place = self._helper(finding)
-            if place is not None and not self._is_relayed:
-                self._pass_on(place)
+            target = self._relay_target(finding)
+            if target is not None and not self._is_relayed:
+                self._relay_to_peer(target)
             else:
-                otherwise(finding)
+                on_no_target(finding)
 
         peers.find(self._facts, found, question)
 
-    def _helper(self, finding: ports.Finding) -> upstreams.Upstream | None:
-        """Return the VM that the turn had better be passed on to."""
+    def _relay_target(
+        self, finding: ports.Finding
+    ) -> upstreams.Upstream | None:
+        """Return the VM to which the turn should be relayed."""
         return finding.taker
 
     @property
-    def _is_better_elsewhere(self) -> bool:
-        """Whether this VM is cut off, and others know the program as well."""
-        peers = self._shared.peers
+    def _should_redirect_caller(self) -> bool:
+        """Whether the caller should connect to another data centre.
+
+        Its VMs can continue the program if all its turns are in the log.
+        """
+        peers = self._services.peers
         return (
             peers.send_away
             and not self._is_relayed
@@ -218,13 +229,13 @@
 
     @property
     def _is_relayed(self) -> bool:
-        return self._shared.peers.is_relayed(self._call.header)
+        return self._services.peers.is_relayed(self._call.header)
 
-    def _pass_on(self, taker: upstreams.Upstream) -> None:
+    def _relay_to_peer(self, taker: upstreams.Upstream) -> None:
         self._closed = True
         self._unsent_timer.cancel()
         self._outcome.add(passed_to=taker.id)
-        passed = plain.PlainCall(
+        relayed_call = plain.PlainCall(
             self._dispatcher,
             self._call,
             self._facts,
@@ -232,31 +243,33 @@
             self._deadline,
             self._outcome,
             only=taker,
-            extra_fields=(self._shared.peers.relayed_field(taker),),
+            extra_fields=(self._services.peers.relayed_field(taker),),
         )
-        passed.start()
+        relayed_call.start()
 
-    def _unavailable(self, finding: ports.Finding) -> None:
+    def _refuse_unavailable(self, finding: ports.Finding) -> None:
         self._close(refusals.Refusal.JOURNAL_UNAVAILABLE)
 
-    def _reserved(self, finding: ports.Finding) -> None:
+    def _refuse_reserved(self, finding: ports.Finding) -> None:
         self._close(refusals.Refusal.BUDGET_RESERVED)
 
-    def _begin_home(self, finding: ports.Finding) -> None:
-        """The log is away: the program may go on here all the same.
+    def _begin_offline_budget(self, finding: ports.Finding) -> None:
+        """Open an offline budget for the program, as the log is away.
 
-        Neither this VM nor those that help it reach its records, so no
-        one does; what nobody has spent or reserved may be spent here.
+        Neither this VM nor the VMs that call the log for it reach the
+        program's records, so it assumes that no VM does: tokens that no VM
+        has spent or reserved may be spent here.
 
-        If that is not certain the program gets the one turn by which a
-        budget may be passed, and only where nobody remembers that another
-        VM has asked: successive homes passed it by a turn each.
+        If the answers of the other VMs leave that uncertain, the program
+        gets the one turn by which its budget may be exceeded, and only if
+        no VM remembers such a request of another VM: successive VMs with
+        an offline budget exceeded it by one turn each.
         """
         journal = self._journal
         known = (
             journal.knows(self._program)
             or finding.is_known
-            or self._may_have_begun
+            or self._may_have_run_elsewhere
         )
         is_certain = finding.knows_all or (
             finding.is_certain and not (known or finding.has_gone_on)
@@ -264,10 +277,10 @@
         may_begin = finding.is_answered and not finding.is_deferred
         if finding.has_gone_on and not is_certain:
             may_begin = False
-        if self._tried_home or not may_begin:
+        if self._tried_offline_budget or not may_begin:
             self._close(refusals.Refusal.JOURNAL_UNAVAILABLE)
             return
-        self._tried_home = True
+        self._tried_offline_budget = True
         journal.accounts.begin_home(
             self._program,
             self._facts.ceiling,
@@ -279,33 +292,33 @@
         self._open()
 
     @property
-    def _may_have_begun(self) -> bool:
-        """Whether a program that nobody here knows may have run elsewhere.
+    def _may_have_run_elsewhere(self) -> bool:
+        """Whether a program unknown to the VMs asked may have run before.
 
-        A caller that carries the conversation names no turn before this one.
+        A caller that carries the conversation does not name a previous turn.
         """
         return True
 
-    # -- from the delivery ----------------------------------------------------
+    # -- callbacks of the delivery --------------------------------------------
 
     def answered(self, status: int, fields: list, body: bytes) -> None:
-        """Pass on an answer that is no stream: the turn has failed."""
+        """Relay an answer that is not a stream: the turn has failed."""
         self._closed = True
         super().answered(status, fields, body)
         self._settle()
 
     def stream_events(self, events: list[bytes]) -> None:
-        """Pass events on, as far as the program may spend."""
+        """Relay events up to the token limit of the turn."""
         limit = self._ticket.limit
         if limit is not None:
             room = limit // self._tokens_per_event - self._events
             if len(events) > room:
-                self._break_off(events[:room])
+                self._stop_at_budget(events[:room])
                 return
         self._pass_events(events)
 
-    def _break_off(self, events: list[bytes]) -> None:
-        """The turn has used what the program may spend."""
+    def _stop_at_budget(self, events: list[bytes]) -> None:
+        """Relay the last events, and end the turn at its token limit."""
         if events:
             self._pass_events(events)
         self.delivery.cancel()
@@ -323,30 +336,30 @@
         self._settle()
 
     def stream_broken(self, reason: str) -> None:
-        """Break the answer off, and settle the turn, once."""
+        """Abort the answer and settle the turn; later calls do nothing."""
         if self._closed:
             return
-        self._cut(reason)
+        self._abort_answer(reason)
         self._settle()
 
     def refused(self, refusal: refusals.Refusal) -> None:
-        """Answer that the turn was given up, and settle it."""
+        """Answer the caller with the refusal, and settle the turn."""
         self._close(refusal)
         self._settle()
 
-    def out_of_time(self) -> None:
-        """Have the final answer given: this VM is about to end."""
+    def conclude(self) -> None:
+        """End the call with a final answer, as this VM is about to stop."""
         if self._closed:
             return
         if self.delivery is None:
             self._close(refusals.Refusal.SHUTTING_DOWN)
         else:
-            self.delivery.run_out()
+            self.delivery.conclude()
 
     # -- own ------------------------------------------------------------------
 
-    def _cut(self, reason: str) -> None:
-        """Break the answer off."""
+    def _abort_answer(self, reason: str) -> None:
+        """Abort the answer."""
         self._closed = True
         super().stream_broken(reason)
 
@@ -354,10 +367,10 @@
     def _tokens(self) -> int:
         return self._events * self._tokens_per_event
 
-    def _gone(self) -> None:
-        """The caller left: break the run off, and settle the turn.
+    def _on_caller_gone(self) -> None:
+        """Cancel and settle the turn, as the caller closed its connection.
 
-        An answer that only waits to be recorded is recorded.
+        A turn whose answer is complete is still recorded.
         """
         if self._closed:
             return
@@ -371,16 +384,16 @@
     def _settle(self) -> None:
         if self._ticket is None:
             return
-        line = place = ""
+        line = upstream = ""
         if self._tokens and not self._route.keeps_history:
             line = self._facts.line
-            place = self.delivery.upstream.incarnation
-        self._journal.end_turn(self._ticket, self._tokens, line, place)
+            upstream = self.delivery.upstream.incarnation
+        self._journal.end_turn(self._ticket, self._tokens, line, upstream)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnServices:
-    """What all turns of a VM share."""
+    """The services that all turns of a VM share."""
 
     journal: histories.Journal
     peers: ports.Peers
--- a/postspring/forwarding/certainty.py
+++ b/postspring/forwarding/certainty.py
@@ -1,7 +1,8 @@
-"""Whether this VM may say that there is no such thing.
+"""Whether this VM can be certain that a route, key or turn does not exist.
 
-An answer such as "no such route" ends the caller's work, so it may only be
-given by who can know.  Everything that makes a VM unsure is a reason here.
+An answer such as "no such route" ends the caller's work, so a VM may give
+it only if its information is complete.  :class:`Doubt` lists the reasons
+why it may not be.
 """
 
 import dataclasses
@@ -12,50 +13,54 @@
 
 
 class Doubt(enum.Enum):
-    """Why this VM can't be certain that what it knows is all there is.
+    """Reason why this VM's information may be incomplete.
 
     Explanation
     ===========
 
-    Of the configuration: the newest is in the log, and other VMs' views are
-    of any age.  Of turns: one that was answered whole stands in the log, or
-    is kept by VMs until it does.  So the claim needs a list of VMs that is
-    newer than the question, an answer from every VM that may be alive, and
-    none among them that has forgotten what it kept; the log has to be read
-    after that.
+    The newest configuration is in the log; the views of other VMs may be of
+    any age.  A turn that was answered completely is in the log, or VMs hold
+    replicas of it until it is.  So the absence of a turn is certain only
+    with a list of VMs that is newer than the request, an answer from every
+    VM that may be alive, none of which has lost its replicas by a restart,
+    and a read of the log after that.
     """
 
-    # The log has answered nothing yet.
+    # The log has not answered yet.
     LOG_UNHEARD = "log_unheard"
-    # What was acknowledged a whole bound ago may be missing here.
+    # A record that the log acknowledged more than the bound ago may be
+    # missing here.
     OLD = "old"
-    # The newest record is known, but could not be read.
+    # The newest record was received, but could not be decoded.
     UNREADABLE = "unreadable"
     # The log did not answer after the VMs had been asked.
     LOG_UNREAD = "log_unread"
     # A VM did not answer.
     VM_UNHEARD = "vm_unheard"
-    # A VM dropped off the list without having left: it may be cut off, and
-    # serve callers behind the cut.
+    # A VM disappeared from the list without having left: it may be cut off
+    # by a partition, and serve callers on its side.
     VM_ABSENT = "vm_absent"
-    # A VM was started after the turn may have ended; so was this one.
+    # A VM was started after the turn may have ended.
     VM_RESTARTED = "vm_restarted"
+    # This VM was.
     STARTED_LATELY = "started_lately"
+    # The list of VMs was read before the request.
     OLD_LIST = "old_list_of_vms"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Certainty:
-    """What was known when a question was decided.
+    """How complete this VM's information was at a decision.
 
     Parameters
     ==========
 
     age : float
-        Seconds since when records may be missing, without end if the log
-        has never answered.
+        Seconds since when records may be missing; infinite if the log has
+        never answered.
     doubts : tuple of Doubt
-        Reasons for not being certain; none allow the claim.
+        Reasons why the information may be incomplete; empty if a VM may
+        answer that something does not exist.
     """
 
     age: float
@@ -63,7 +68,7 @@
 
 
 def told_age(age: float) -> float | None:
-    """Return an age for logs; JSON has no number without end.
+    """Return an age for log lines; None if infinite, which JSON lacks.
 
     Examples
     --------
@@ -76,16 +81,17 @@
 def doubts_of(
     age: float, bound: float, is_readable: bool = True
 ) -> tuple[Doubt, ...]:
-    """Return the reasons for not being certain.
+    """Return the reasons why a view may be incomplete.
 
     Explanation
     ===========
 
     A record has to be in force ``bound`` seconds after the log acknowledged
-    it.  A view that is younger than that holds all such records, for its
-    age counts from when the log was asked or had waited in vain.  So the
-    bound needs no margin, and a follower whose reads wait for a share of
-    it (0.7) is certain as long as the log answers within the rest.
+    it.  A view that is younger than that contains all such records, as its
+    age counts from when the log was asked, or from when a long poll ended
+    without a record.  So the bound needs no margin, and a follower whose
+    long polls take a share of it (0.7) is certain as long as the log answers
+    within the rest.
 
     Parameters
     ----------
@@ -94,7 +100,7 @@
     bound : float
         Seconds after which a record has to be in force.
     is_readable : bool
-        Whether the newest record could be read.
+        Whether the newest record could be decoded.
 
     Examples
     --------
--- a/postspring/forwarding/choice.py
+++ b/postspring/forwarding/choice.py
@@ -1,4 +1,4 @@
-"""Which upstream a call is sent to, and with what."""
+"""The request to an upstream, and the choice of the upstream."""
 
 from collections.abc import Collection
 import dataclasses
@@ -9,18 +9,18 @@
 from postspring import transport
 from postspring import upstreams
 
-__all__ = ["Order", "OutboundCall", "choose_upstream"]
+__all__ = ["OutboundCall", "PlacementRequest", "choose_upstream"]
 
-# Links take a few ms; an address that does not answer by then is dead.
+# Links take a few ms; an address that takes longer counts as dead.
 CONNECT_TIMEOUT_SECONDS = 0.4
-# An upstream stops at the deadline it was given; its own answer to that
-# may take this much longer, in seconds.
+# An upstream stops at the deadline that the request states; its answer to
+# that may take this much longer.
 DEADLINE_SLACK_SECONDS = 0.15
 
 
 @dataclasses.dataclass(slots=True)
-class Order:
-    """A call as placement sees it.
+class PlacementRequest:
+    """The properties of a call that placement uses.
 
     Parameters
     ==========
@@ -28,7 +28,7 @@
     last_upstream : str
         Incarnation of the upstream that has the call's history in memory.
     data_center : str
-        Where the call came in.
+        The data centre that received the call.
     now : float
         Monotonic time in seconds.
     """
@@ -43,24 +43,24 @@
     dispatcher: dispatch.Dispatcher,
     service: str,
     tried: Collection[str],
-    order: Order,
+    placement_request: PlacementRequest,
 ) -> upstreams.Upstream | None:
-    """Return an upstream, one that was not tried yet if there is one."""
+    """Return an upstream, preferably one that was not tried yet."""
     directory = dispatcher.directory
     candidates = directory.usable(service)
     if not candidates:
         candidates = directory.last_resort(service)
-    fresh = [item for item in candidates if item.incarnation not in tried]
-    candidates = fresh or candidates
+    untried = [item for item in candidates if item.incarnation not in tried]
+    candidates = untried or candidates
     if not candidates:
         return None
     random.shuffle(candidates)
-    return dispatcher.placement.choose(order, candidates)
+    return dispatcher.placement.choose(placement_request, candidates)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutboundCall:
-    """What a call is sent with, whichever upstream gets it.
+    """A call to be sent, independent of the upstream.
 
     Parameters
     ==========
@@ -68,7 +68,7 @@
     preferred : str
         Incarnation of the upstream that has the call's history in memory.
     only : Upstream, optional
-        The one place that the call may be sent to: another VM.
+        The only address that the call may be sent to: another VM.
     extra_fields : tuple
         Header fields to add.
     """
@@ -89,13 +89,13 @@
         """Return the upstream to send it to, or None if there is none."""
         if self.only is not None:
             return None if self.only.incarnation in tried else self.only
-        order = Order(
+        placement_request = PlacementRequest(
             self.preferred,
             self.facts.affinity_key,
             dispatcher.data_center,
             dispatcher.timers.now(),
         )
-        return choose_upstream(dispatcher, service, tried, order)
+        return choose_upstream(dispatcher, service, tried, placement_request)
 
     def request(
         self,
@@ -103,12 +103,12 @@
         upstream: upstreams.Upstream,
         extra: ports.UpstreamExtra,
     ) -> transport.HttpRequest:
-        """Return the request that carries the call to an upstream.
+        """Return the HTTP request for an upstream.
 
         Parameters
         ----------
         extra : UpstreamExtra
-            What the delivery adds to the caller's fields.
+            Values that the delivery adds to the caller's header fields.
         """
         wire = dispatcher.wire
 
@@ -116,18 +116,18 @@
             answered = wire.decode_answer(0, headers).request
             return answered in ("", self.facts.request)
 
-        given = [
+        caller_fields = [
             (name, value)
             for name, value in self.call.fields
             if name.lower() != ports.RELAYED_NAME.lower()
         ]
-        named = dataclasses.replace(
+        full_extra = dataclasses.replace(
             extra,
             upstream=upstream.id,
             urgency=dispatcher.urgency.of(self.facts.rank),
             workspace=self.facts.workspace,
         )
-        fields = wire.upstream_fields(given, named)
+        fields = wire.upstream_fields(caller_fields, full_extra)
         return transport.HttpRequest(
             address=upstream.address,
             method=self.call.method,
--- a/postspring/forwarding/delivery.py
+++ b/postspring/forwarding/delivery.py
@@ -1,9 +1,9 @@
 """Delivers one call to upstreams, and its answer to a receiver.
 
-A call that may be repeated is tried again after any failure; another one
-only if it certainly did not run: the connection could not be made, or the
-upstream says so.  A stream that may be resumed goes on at another upstream
-behind the last event that was passed on.
+A call that may run more than once is retried after any failure.  Other calls
+are retried only if they certainly did not run: the connection could not be
+made, or the upstream states it.  A stream that may be resumed continues at
+another upstream after the last event that the receiver got.
 """
 
 import enum
@@ -36,15 +36,15 @@
 
 
 class Delivery(transport.HttpListener):
-    """One call on its way; :meth:`cancel` breaks it off.
+    """One call from its first attempt to its final answer.
 
     Parameters
     ==========
 
     outbound : OutboundCall
-        What is sent.
+        The call to send.
     deadline : float
-        Monotonic time by which there has to be an answer.
+        Monotonic time by which the call has to be answered.
     """
 
     def __init__(
@@ -74,33 +74,33 @@
         self._silence_timer = silence_timer.SilenceTimer(
             dispatcher.timers,
             None if outbound.only else silence_timer.silence_timeout_of(route),
-            self._silent,
+            self._on_silence,
         )
         self._timer: transport.TimerHandle | None = None
         self._sent_at = 0.0
-        self._holds_place = False
-        self._has_begun = False
+        self._is_counted_in_flight = False
+        self._has_started = False
         self.upstream: upstreams.Upstream | None = None
         self.attempts = attempts_module.Attempts(route, deadline)
         self.resumed = 0
 
     @property
     def is_done(self) -> bool:
-        """Whether the receiver has heard the end."""
+        """Whether the delivery has ended."""
         return self._phase is _Phase.DONE
 
     def start(self) -> None:
-        """Send the call to an upstream."""
+        """Start the first attempt and the deadline timer."""
         remaining = self._deadline - self._dispatcher.timers.now()
         self._timer = self._dispatcher.timers.call_later(
-            max(0.0, remaining), self._overdue
+            max(0.0, remaining), self._on_deadline
         )
         if self._route.may_repeat and self._outbound_call.only is None:
-            self._dispatcher.hedges.deposit()
+            self._dispatcher.slow_retry_budget.deposit()
         self._send()
 
     def cancel(self) -> None:
-        """Break the call off; the receiver hears nothing more."""
+        """Cancel the call; the receiver gets no further callbacks."""
         if self._phase is _Phase.DONE:
             return
         self._finish()
@@ -108,17 +108,17 @@
             self._exchange.cancel()
 
     def detach(self) -> None:
-        """Let the upstream finish; the receiver hears nothing more."""
+        """Let the upstream finish; the receiver gets no further callbacks."""
         self._receiver = dispatch.Receiver()
 
-    def run_out(self) -> None:
-        """Give the final answer now: this VM is about to end."""
+    def conclude(self) -> None:
+        """Report the end of the call now, as this VM is about to stop."""
         if self._phase is _Phase.DONE:
             return
         may_have_run = self.attempts.may_have_run or self._was_sent
         if self._exchange is not None:
             self._exchange.cancel()
-        self._settle()
+        self._release_upstream()
         refusal = refusals.Refusal.SHUTTING_DOWN
         if may_have_run:
             refusal = refusals.Refusal.UNKNOWN_OUTCOME
@@ -131,12 +131,12 @@
             self._dispatcher, self._service, self.attempts.tried
         )
         if upstream is None:
-            self._give_up(self._why_none())
+            self._give_up(self._refusal_without_upstream())
             return
         self.attempts.begin(upstream.incarnation, upstream.has_entry)
         self.upstream = upstream
         upstream.in_flight += 1
-        self._holds_place = True
+        self._is_counted_in_flight = True
         self._phase = _Phase.SENT
         self._status = 0
         self._buffer.clear()
@@ -148,33 +148,33 @@
             self._request(upstream), self
         )
 
-    def _silent(self) -> None:
-        """Leave an upstream from which nothing has come for too long.
+    def _on_silence(self) -> None:
+        """Retry the call at another upstream, as the current one is silent.
 
-        The last attempt keeps all the time that is left, and hedges are a
-        small share of calls: when all upstreams are slow they don't help.
+        The last attempt may use all the remaining time.  A budget limits
+        such retries, which don't help when all upstreams are slow.
         """
         is_plain_answer = self._status and not self._is_stream
         if self._phase is not _Phase.SENT or is_plain_answer:
             return
-        if self.attempts.are_last:
+        if self.attempts.is_last_attempt:
             return
         others = self._dispatcher.directory.usable(self._service)
         if all(item.incarnation in self.attempts.tried for item in others):
             return
-        if not self._dispatcher.hedges.take():
+        if not self._dispatcher.slow_retry_budget.take():
             return
         self._exchange.cancel()
-        self._settle()
+        self._release_upstream()
         self.upstream.note_failure(self._dispatcher.timers.now())
         self.attempts.note_run()
         self._retry("slow", refusals.Refusal.UNKNOWN_OUTCOME)
 
-    def _why_none(self) -> refusals.Refusal:
+    def _refusal_without_upstream(self) -> refusals.Refusal:
         otherwise = refusals.Refusal.NO_UPSTREAM
         if self._dispatcher.directory.is_out_of_reach(self._service):
             otherwise = refusals.Refusal.UPSTREAMS_UNREACHABLE
-        return self.attempts.outcome(otherwise)
+        return self.attempts.final_refusal(otherwise)
 
     def _request(self, upstream: upstreams.Upstream) -> transport.HttpRequest:
         extra = ports.UpstreamExtra(
@@ -184,16 +184,16 @@
         )
         return self._outbound_call.request(self._dispatcher, upstream, extra)
 
-    # -- from the exchange ----------------------------------------------------
+    # -- callbacks of the exchange --------------------------------------------
 
     def head(self, status: int, headers: dict[str, str]) -> None:
-        """Take the answer's head."""
+        """Handle the status line and header fields of the answer."""
         self.upstream.note_answer(self._dispatcher.timers.now())
         self._status = status
         self._answer = self._dispatcher.wire.decode_answer(status, headers)
 
     def data(self, chunk: bytes) -> None:
-        """Take a part of the answer's body."""
+        """Handle a part of the answer's body."""
         self.upstream.note_answer(self._dispatcher.timers.now())
         if self._is_stream:
             self._relay(self._splitter.feed(chunk))
@@ -201,29 +201,29 @@
             self._buffer += chunk
 
     def end(self) -> None:
-        """Take note that the answer is complete."""
-        self._settle()
+        """Handle the end of a complete answer."""
+        self._release_upstream()
         if self._is_stream:
             self._end_stream()
         elif self._answer.not_run:
-            self._not_run()
+            self._handle_rejection()
         else:
             self._end_answer()
 
     def failed(self, error: errors.TransportError) -> None:
-        """Take note that the exchange broke."""
-        self._settle()
-        self._note_failure(error)
+        """Handle a failed exchange."""
+        self._release_upstream()
+        self._count_failure(error)
         if not error.sent:
             self.attempts.note_unsent()
-            self._retry("not_sent", self._why_none())
+            self._retry("not_sent", self._refusal_without_upstream())
         else:
-            self._break("broken", str(error))
+            self._handle_break("broken", str(error))
 
     # -- own ------------------------------------------------------------------
 
-    def _note_failure(self, error: errors.TransportError) -> None:
-        """Count a failure; an address that is silent is left alone."""
+    def _count_failure(self, error: errors.TransportError) -> None:
+        """Count a failure of the upstream, or mark it as unreachable."""
         now = self._dispatcher.timers.now()
         if error.sent and error.is_broken:
             self.upstream.note_break(self._sent_at, now)
@@ -242,42 +242,42 @@
     def _relay(self, events: list[bytes]) -> None:
         if not events:
             return
-        self._silence_timer.heard()
+        self._silence_timer.reset()
         self.attempts.note_run()
-        if not self._has_begun:
-            self._has_begun = True
+        if not self._has_started:
+            self._has_started = True
             if self._route.may_resume:
                 self._position.begin(self._answer.weights)
             self._receiver.stream_started(self._status, self._fields())
-        if self._route.may_resume and not self._position.follow(events):
+        if self._route.may_resume and not self._position.advance(events):
             self._exchange.cancel()
-            self._settle()
-            self._end_broken("out_of_order")
+            self._release_upstream()
+            self._report_broken("out_of_order")
             return
-        self._pace.take(len(events), self._dispatcher.timers.now())
+        self._pace.note_events(len(events), self._dispatcher.timers.now())
         self._receiver.stream_events(events)
 
     def _end_stream(self) -> None:
         self.upstream.note_success()
-        self._pace.tell(self.upstream, self._dispatcher.timers.now())
+        self._pace.report_to(self.upstream, self._dispatcher.timers.now())
         if not self._splitter.is_between_events:
-            self._break("cut_event", "cut_event")
-        elif not self._has_begun:
-            self._break("empty_stream", "empty_stream")
+            self._handle_break("cut_event", "cut_event")
+        elif not self._has_started:
+            self._handle_break("empty_stream", "empty_stream")
         else:
             self._finish()
             self._receiver.stream_ended()
 
-    def _break(self, reason: str, told: str) -> None:
-        """The upstream broke off what it may have run; go on elsewhere.
+    def _handle_break(self, reason: str, detail: str) -> None:
+        """Retry or resume a call that broke after it may have run.
 
-        A stream without ids can't be gone on with.
+        A started stream whose events have no ids can't be resumed.
         """
         self.attempts.note_run()
-        if self._has_begun and not self._may_resume:
-            self._end_broken(told)
+        if self._has_started and not self._may_resume:
+            self._report_broken(detail)
         else:
-            self._retry(reason, refusals.Refusal.UNKNOWN_OUTCOME, told)
+            self._retry(reason, refusals.Refusal.UNKNOWN_OUTCOME, detail)
 
     @property
     def _may_resume(self) -> bool:
@@ -287,7 +287,7 @@
             and self._position.last_event is not None
         )
 
-    def _end_broken(self, reason: str) -> None:
+    def _report_broken(self, reason: str) -> None:
         self._finish()
         self._receiver.stream_broken(reason)
 
@@ -297,9 +297,9 @@
             self.upstream.note_failure(self._dispatcher.timers.now())
         else:
             self.upstream.note_success()
-        if self._has_begun:
+        if self._has_started:
             self._retry("answer", refusals.Refusal.UNKNOWN_OUTCOME)
-        elif self._promises_wrongly:
+        elif self._is_unproven_refusal:
             self._give_up(refusals.Refusal.UNKNOWN_OUTCOME)
         else:
             fields = self._fields()
@@ -307,10 +307,10 @@
             self._receiver.answered(self._status, fields, bytes(self._buffer))
 
     @property
-    def _promises_wrongly(self) -> bool:
-        """Whether the status would promise what the upstream does not say.
+    def _is_unproven_refusal(self) -> bool:
+        """Whether only the status claims that the call did not run.
 
-        Another VM's promise is as good as ours.
+        An answer that another VM generated is relayed as it is.
         """
         return (
             self._status in NOT_RUN_STATUSES
@@ -318,35 +318,37 @@
             and self._outbound_call.only is None
         )
 
-    def _not_run(self) -> None:
-        """The upstream did not run the call: it is full, or another one."""
+    def _handle_rejection(self) -> None:
+        """Retry a call that the upstream did not run, as its answer states."""
         answer = self._answer
         if not answer.wrong_upstream:
             self.attempts.note_shed()
         else:
             self.attempts.note_unsent()
-            # Its own 421 means that its weights are not the ones asked for.
+            # A 421 of the right upstream means that its weights differ.
             if answer.upstream != self.upstream.id:
                 self.upstream.leaving = True
         self._retry("shed", refusals.Refusal.UPSTREAMS_REFUSED)
 
     def _retry(
-        self, reason: str, otherwise: refusals.Refusal, told: str = ""
+        self, reason: str, otherwise: refusals.Refusal, detail: str = ""
     ) -> None:
-        """Try another upstream if that is allowed, or give up."""
-        if not self.attempts.allow_another(self._dispatcher.timers.now()):
-            self._give_up(self.attempts.outcome(otherwise), told or reason)
+        """Send the call again if that is allowed, or give up."""
+        if not self.attempts.allows_retry(self._dispatcher.timers.now()):
+            self._give_up(
+                self.attempts.final_refusal(otherwise), detail or reason
+            )
             return
         self._dispatcher.metrics.retries.add(1, {"reason": reason})
-        self.resumed += self._has_begun
+        self.resumed += self._has_started
         self._phase = _Phase.WAITING
         self._send()
 
-    def _overdue(self) -> None:
-        """The caller has waited as long as it may."""
-        if self._has_begun:
+    def _on_deadline(self) -> None:
+        """Give up at the deadline; a started stream gets a little longer."""
+        if self._has_started:
             self._timer = self._dispatcher.timers.call_later(
-                choice.DEADLINE_SLACK_SECONDS, self._stream_overdue
+                choice.DEADLINE_SLACK_SECONDS, self._on_stream_deadline
             )
             return
         timed_out = refusals.Refusal.TIMED_OUT_UNSENT
@@ -354,24 +356,24 @@
             timed_out = refusals.Refusal.TIMED_OUT
         if self._exchange is not None:
             self._exchange.cancel()
-        self._settle()
+        self._release_upstream()
         self._give_up(timed_out)
 
     @property
     def _was_sent(self) -> bool:
         return self._exchange is not None and self._exchange.sent
 
-    def _stream_overdue(self) -> None:
+    def _on_stream_deadline(self) -> None:
         if self._phase is _Phase.DONE:
             return
         self._exchange.cancel()
-        self._settle()
-        self._end_broken("timed_out")
+        self._release_upstream()
+        self._report_broken("timed_out")
 
-    def _give_up(self, refusal: refusals.Refusal, told: str = "") -> None:
-        """Give an answer of our own, or break off what has begun."""
-        if self._has_begun:
-            self._end_broken(told or refusal.reason)
+    def _give_up(self, refusal: refusals.Refusal, detail: str = "") -> None:
+        """Refuse the call, or report a started stream as broken."""
+        if self._has_started:
+            self._report_broken(detail or refusal.reason)
             return
         self._finish()
         self._receiver.refused(refusal)
@@ -383,14 +385,14 @@
         ]
         return self._dispatcher.wire.caller_fields(raw, sealed=True)
 
-    def _settle(self) -> None:
-        """Give the upstream's place back."""
-        if self._holds_place:
-            self._holds_place = False
+    def _release_upstream(self) -> None:
+        """Stop counting the call as in flight at the upstream."""
+        if self._is_counted_in_flight:
+            self._is_counted_in_flight = False
             self.upstream.in_flight -= 1
 
     def _finish(self) -> None:
-        self._settle()
+        self._release_upstream()
         self._phase = _Phase.DONE
         self._silence_timer.stop()
         if self._timer is not None:
--- a/postspring/forwarding/dispatch.py
+++ b/postspring/forwarding/dispatch.py
@@ -1,4 +1,4 @@
-"""What deliveries share, and who hears of them."""
+"""The collaborators that deliveries share, and the receiver interface."""
 
 from collections.abc import Callable
 import dataclasses
@@ -14,34 +14,34 @@
 
 
 class Receiver:
-    """What a delivery's user implements; exactly one end is reported.
+    """Callbacks of a delivery; exactly one final one is called.
 
-    The ends are :meth:`answered`, :meth:`stream_ended`,
+    The final ones are :meth:`answered`, :meth:`stream_ended`,
     :meth:`stream_broken` and :meth:`refused`.
     """
 
     def answered(self, status: int, fields: list, body: bytes) -> None:
-        """Take a whole answer."""
+        """Handle a complete answer that is not a stream."""
 
     def stream_started(self, status: int, fields: list) -> None:
-        """Take the head of a stream; its first event follows."""
+        """Handle the head of a stream; its first event follows."""
 
     def stream_events(self, events: list[bytes]) -> None:
-        """Take whole events of a stream."""
+        """Handle complete events of a stream."""
 
     def stream_ended(self) -> None:
-        """Take note that the stream is complete."""
+        """Handle the end of a complete stream."""
 
     def stream_broken(self, reason: str) -> None:
-        """Take note that a started stream ended early."""
+        """Handle a started stream that broke before its end."""
 
     def refused(self, refusal: refusals.Refusal) -> None:
-        """Take note that there is no answer, and why."""
+        """Handle a call that got no answer from an upstream."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dispatcher:
-    """What all deliveries of a VM share.
+    """Collaborators that all deliveries of a VM share.
 
     Parameters
     ==========
@@ -51,11 +51,14 @@
     metrics : Metrics
         Counts retries by reason.
     data_center : str
-        This VM's.
+        The data centre of this VM.
     urgency : Urgency
-        What upstreams are told of a call's rank.
-    hedges : RetryBudget
-        How many slow calls may be tried elsewhere.
+        Maps the rank of a call to the urgency that upstreams receive.
+    draw : callable
+        Returns a random number from 0 to 1, which selects a service of the
+        route.
+    slow_retry_budget : RetryBudget
+        Limits the calls that are retried because an upstream is slow.
     """
 
     http: transport.HttpClient
@@ -67,6 +70,6 @@
     data_center: str = ""
     urgency: scheduling.Urgency = scheduling.urgency_by_name["none"]()
     draw: Callable[[], float] = random.random
-    hedges: scheduling.RetryBudget = dataclasses.field(
+    slow_retry_budget: scheduling.RetryBudget = dataclasses.field(
         default_factory=scheduling.RetryBudget
     )
--- a/postspring/forwarding/event_splitter.py
+++ b/postspring/forwarding/event_splitter.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events into whole events."""
+"""Splits a stream of server-sent events into complete events."""
 
 import re
 
@@ -9,7 +9,7 @@
 
 
 class EventSplitter:
-    """Takes the bytes of a stream and gives whole events.
+    """Collects the bytes of a stream and returns complete events.
 
     Examples
     ========
@@ -24,23 +24,23 @@
     """
 
     def __init__(self):
-        self._rest = b""
+        self._partial = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the events that are whole now, each with its blank line."""
-        data = self._rest + data
+        """Return the events that are now complete, with their blank lines."""
+        data = self._partial + data
         events = []
         start = 0
         for match in _BLANK_LINE.finditer(data):
             events.append(data[start : match.end()])
             start = match.end()
-        self._rest = data[start:]
+        self._partial = data[start:]
         return events
 
     @property
     def is_between_events(self) -> bool:
-        """Whether no part of an event is left over."""
-        return not self._rest
+        """Whether no incomplete event is buffered."""
+        return not self._partial
 
 
 def event_data(event: bytes) -> bytes:
--- a/postspring/forwarding/forwarder.py
+++ b/postspring/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: finds the route and starts the call."""
+"""Routes and admits callers' requests, and starts the calls."""
 
 from collections.abc import Callable
 import dataclasses
@@ -23,29 +23,30 @@
 
 
 class Forwarder:
-    """Starts a call for each request.
+    """Starts a call for each request of a caller.
 
     Parameters
     ==========
 
     dispatcher : Dispatcher
-        What all deliveries share.
+        The collaborators that all deliveries share.
     journal : Journal
-        Keeps turns.
+        Opens, records and settles turns.
     current : callable
         Returns the configuration in force, or None.
+    inputs : callable
+        Returns versions and ages of the data on which decisions are based,
+        for log lines.
     peers : Peers
         The other VMs.
     takes_work : callable
-        Returns whether there is time left to finish a call.
-    inputs : callable
-        Returns what decisions rest on, for the log: versions and ages.
+        Returns whether a new call could be finished before this VM stops.
     routes_certainty : callable
-        Returns whether a route or key that is not known can't be there.
+        Returns the certainty that an unknown route or key does not exist.
     admission : Admission, optional
         Finds the workspace of a call.
-    limiter : Limiter
-        Tells whether a workspace's limit allows a call.
+    limiter : Limiter, optional
+        Decides whether a workspace's limit allows a call.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         self._inputs = inputs
 
     def handle(self, call: transport.IncomingCall) -> None:
-        """Start a call."""
+        """Start the call, or refuse it."""
         facts = self._dispatcher.wire.decode_call(call.header)
         snapshot = self._current()
         route = None
@@ -128,29 +129,29 @@
         accepted = dataclasses.replace(accepted, facts=facts)
         peers = self._turn_services.peers
         is_counted = peers.is_relayed(accepted.call.header)
-        needs_none = found is None or found.limit is None or is_counted
-        if needs_none or self._is_spent(accepted):
+        needs_no_permit = found is None or found.limit is None or is_counted
+        if needs_no_permit or self._is_spent(accepted):
             self._start(accepted)
             return
-        # No kind of call has begun yet; who has left needs no permit.
+        # The caller may leave before the verdict; _on_verdict() checks that.
         self._limiter.ask(
             found,
             accepted.use,
-            lambda verdict: self._permitted(accepted, verdict),
+            lambda verdict: self._on_verdict(accepted, verdict),
         )
 
     def _is_spent(self, accepted: "_Accepted") -> bool:
-        """Whether a turn is refused anyway, as its program may not spend.
+        """Whether the budget of a turn's program is spent.
 
-        One that loops would use its workspace's limit up with what never
-        runs.
+        Such a turn is refused without a permit.  Otherwise a program that
+        retries it in a loop would use up the limit of its workspace.
         """
         facts = accepted.facts
         return accepted.is_turn and self._turn_services.journal.is_spent(
             facts.program, facts.ceiling, facts.budget
         )
 
-    def _permitted(
+    def _on_verdict(
         self, accepted: "_Accepted", verdict: limits.Verdict
     ) -> None:
         if accepted.call.gone:
@@ -179,22 +180,22 @@
     def _refuse_unknown(
         self,
         outcome: outcome_module.Outcome,
-        certain: refusals.Refusal = refusals.Refusal.NO_ROUTE,
-        uncertain: refusals.Refusal = refusals.Refusal.ROUTE_UNCERTAIN,
+        if_certain: refusals.Refusal = refusals.Refusal.NO_ROUTE,
+        if_uncertain: refusals.Refusal = refusals.Refusal.ROUTE_UNCERTAIN,
     ) -> refusals.Refusal:
-        """Return what to say of a route or a key that is not known here.
+        """Return the refusal for an unknown route or key.
 
-        VMs said 404 by configurations that were seconds old, and callers
-        don't come back after that.
+        A VM whose configuration is seconds old must not answer 404 for a new
+        route, as callers don't retry after that.
         """
         certainty = self._routes_certainty()
         if not certainty.doubts:
-            return certain
+            return if_certain
         outcome.add(
             configuration_age=certainty_module.told_age(certainty.age),
             doubts=[doubt.value for doubt in certainty.doubts],
         )
-        return uncertain
+        return if_uncertain
 
     def _start(self, accepted: "_Accepted") -> None:
         if accepted.is_turn:
@@ -212,8 +213,8 @@
     def _start_turn(self, accepted: "_Accepted") -> None:
         call, facts, route = accepted.call, accepted.facts, accepted.route
         if not facts.program:
-            alone = histories.ProgramId(f"-{facts.turn}")
-            facts = dataclasses.replace(facts, program=alone)
+            single_turn_program = histories.ProgramId(f"-{facts.turn}")
+            facts = dataclasses.replace(facts, program=single_turn_program)
         if not histories.fits_key(facts.program, facts.turn):
             self._refuse(
                 call, facts, accepted.outcome, refusals.Refusal.ID_TOO_LONG
@@ -221,7 +222,7 @@
             return
         turn_type = turn_call.TurnCall
         if not route.keeps_history:
-            # The caller carries what came before; there is nothing to find.
+            # The caller sends the whole conversation: no chain is read.
             facts = dataclasses.replace(facts, previous=None)
             turn_type = budgeted_call.BudgetedCall
         turn_type(
@@ -238,7 +239,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Accepted:
-    """A call that can be read, on a route that is there."""
+    """A call, its route and the configuration that contains the route."""
 
     call: transport.IncomingCall
     facts: ports.CallFacts
@@ -252,7 +253,7 @@
 
     @property
     def use(self) -> quotas.Use:
-        """What it is for, as far as its workspace's limit is concerned."""
+        """The use of the permit that the call needs."""
         if not self.is_turn:
             return quotas.Use.PLAIN_CALL
         if self.route.keeps_history and self.facts.previous is None:
@@ -261,7 +262,7 @@
 
     @property
     def deadline(self) -> float:
-        """Monotonic time by which there has to be an answer."""
+        """Monotonic time by which the call has to be answered."""
         timeout = self.route.timeout
         if self.facts.deadline is not None:
             timeout = min(timeout, self.facts.deadline)
--- a/postspring/forwarding/limits.py
+++ b/postspring/forwarding/limits.py
@@ -1,4 +1,4 @@
-"""What forwarding needs to know of workspaces' limits."""
+"""The interface by which forwarding checks the limits of workspaces."""
 
 import abc
 from collections.abc import Callable
@@ -12,19 +12,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether a workspace's limit allows a call.
+    """Decision whether a workspace's limit allows a call.
 
     Parameters
     ==========
 
     is_known : bool
-        Somebody who deals the limit out has answered.
+        A quota allocator of the workspace has answered.
     retry_after : float or None
-        Seconds after which it is worth coming back.
+        Seconds after which a retry may be allowed.
     dealers : int
-        VMs that were asked.
+        Quota allocators that were asked.
     give_back : callable
-        To be called if nothing runs by it, and nothing will.
+        Returns the permit; called if the call did not run and never will.
     """
 
     is_granted: bool
@@ -35,12 +35,12 @@
 
     @property
     def facts(self) -> dict:
-        """What decided, for the log."""
+        """The basis of the decision, for the log line."""
         return {"limit_known": self.is_known, "dealers": self.dealers}
 
 
 class Limiter(abc.ABC):
-    """Counts calls against the limits of their workspaces."""
+    """Checks calls against the limits of their workspaces."""
 
     @abc.abstractmethod
     def ask(
@@ -49,12 +49,12 @@
         use: quotas.Use,
         on_done: Callable[[Verdict], None],
     ) -> None:
-        """Ask whether a call may run; tell it, at once or soon."""
+        """Request a permit; call ``on_done`` now or later with the verdict."""
 
 
 class NoLimiter(Limiter):
-    """Allows everything."""
+    """Allows all calls."""
 
     def ask(self, workspace, use, on_done) -> None:
-        """Allow it."""
+        """Allow the call."""
         on_done(Verdict(True))
--- a/postspring/forwarding/outcome.py
+++ b/postspring/forwarding/outcome.py
@@ -1,4 +1,4 @@
-"""What a call came to: one log line and one count for each."""
+"""The outcome of a call: one log line and one count in the metrics."""
 
 from collections.abc import Callable
 import logging
@@ -14,13 +14,13 @@
 
 
 class Outcome:
-    """Collects what decided a call, and reports it once.
+    """Collects the log fields of a call, and reports its outcome once.
 
     Parameters
     ==========
 
     inputs : dict
-        What the decision rested on: versions, ages.
+        Versions and ages of the data on which decisions are based.
     """
 
     def __init__(
@@ -47,29 +47,29 @@
         self._on_not_run: Callable[[], None] | None = None
 
     def add(self, **fields) -> None:
-        """Add what else decided."""
+        """Add fields to the log line."""
         self._fields.update(fields)
 
     def call_if_not_run(self, function: Callable[[], None]) -> None:
-        """Call a function if the call is refused, as not run."""
+        """Set a function to call if the call is refused without running."""
         self._on_not_run = function
 
-    def report(self, text: str, now: float, **fields) -> None:
-        """Write the line, once."""
+    def report(self, outcome: str, now: float, **fields) -> None:
+        """Log and count the outcome; later calls do nothing."""
         if self._reported:
             return
         self._reported = True
         seconds = now - self._call.received_at
         kind = self._route.kind.value if self._route else "none"
-        self._metrics.calls.add(1, {"kind": kind, "outcome": text})
+        self._metrics.calls.add(1, {"kind": kind, "outcome": outcome})
         self._metrics.call_seconds.record(seconds, {"kind": kind})
         LOG.info(
-            text,
+            outcome,
             extra={**self._fields, **fields, "ms": round(seconds * 1000, 1)},
         )
 
     def report_refusal(self, refusal: refusals.Refusal, now: float) -> None:
-        """Write the line of a refusal, and count its reason."""
+        """Log and count a refusal with its reason."""
         if not self._reported:
             ran = "no" if refusal.did_not_run else "unknown"
             self._metrics.refused(refusal.reason, ran)
--- a/postspring/forwarding/plain.py
+++ b/postspring/forwarding/plain.py
@@ -1,4 +1,4 @@
-"""Plain calls: passed on as they are, with no record."""
+"""Plain calls: forwarded unchanged and without a record in the log."""
 
 from postspring.forwarding import choice
 from postspring.forwarding import delivery as delivery_module
@@ -16,6 +16,8 @@
 class PlainCall(relay.CallerRelay):
     """A call of a tool or a plain service, or a stream without a program.
 
+    A turn that is relayed to another VM is also forwarded as a plain call.
+
     Parameters
     ==========
 
@@ -41,20 +43,20 @@
         )
 
     def start(self) -> None:
-        """Send the call."""
-        self._call.on_gone = self._gone
+        """Send the call to an upstream."""
+        self._call.on_gone = self._on_caller_gone
         self.delivery.start()
 
     def stream_ended(self) -> None:
-        """Complete the stream."""
+        """Complete the answer to the caller."""
         self._call.finish()
         self.report("answered")
 
-    def _gone(self) -> None:
-        """The caller left: work that nobody waits for is broken off.
+    def _on_caller_gone(self) -> None:
+        """Cancel the call, as the caller closed its connection.
 
-        A call that may not be repeated goes on: its effect may be wanted
-        all the same.
+        A call that may run only once continues, as the caller may still
+        want its effect.
         """
         if self._route.kind is routing.CallKind.ONCE:
             self.delivery.detach()
@@ -63,5 +65,5 @@
         self.report("caller_gone")
 
     def refused(self, refusal: refusals.Refusal) -> None:
-        """Answer that the call was given up."""
+        """Answer the caller with the refusal."""
         self.refuse(refusal)
--- a/postspring/forwarding/ports.py
+++ b/postspring/forwarding/ports.py
@@ -1,7 +1,7 @@
-"""What forwarding needs to know of calls and answers, and of their format.
+"""Data of calls and answers, and the interfaces that forwarding needs.
 
-The adapter of the users' platform and the stand-ins implement
-:class:`WireFormat`.
+The adapter of the users' platform and the stand-ins of the tests implement
+:class:`WireFormat`; :mod:`postspring.peering` implements :class:`Peers`.
 """
 
 import abc
@@ -28,16 +28,16 @@
     "WireFormat",
 ]
 
-# Header field of a request that another VM has passed on.
+# Header field of a request that another VM has relayed.
 RELAYED_NAME = "X-Relayed-By"
-# Returns the value of a header field, or an empty text.
+# Returns the value of a header field, or an empty string.
 HeaderGetter = Callable[[str], str]
 Fields = list[tuple[str, str]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallFacts:
-    """What a call says of itself; times in seconds.
+    """Data in a call's header fields; times in seconds.
 
     Parameters
     ==========
@@ -45,25 +45,25 @@
     request : str
         Id of this attempt of the caller.
     deadline : float or None
-        How long the caller will wait.
+        Time for which the caller waits.
     prompt_tokens, ceiling : int
-        Tokens of the prompt; most tokens that may be generated.
+        Tokens of the prompt; maximum number of tokens to generate.
     prompt_parts : tuple of (str, int)
         Id and tokens of each part of the prompt, in order.
     line : str
-        The line of turns that a turn belongs to.
+        Id of the sequence of turns that share a growing prompt.
     program_deadline : float or None
-        Time left until the program should be finished.
+        Time left until the program should end.
     budget : int or None
         Tokens that all turns of the program may generate.
     previous : TurnId or None
-        The turn that this one continues.
+        The turn that this turn continues.
     workspace : str
-        Whose call it is; empty where callers need no key.
+        The workspace of the caller; empty where callers need no key.
     turn : TurnId
-        Its id, if it is a turn.
+        Id of the call as a turn; empty if it is none.
     rank : int
-        Of its workspace, else of its route; 0 first.
+        Priority of the workspace or else of the route; 0 comes first.
     """
 
     request: str
@@ -82,7 +82,7 @@
     rank: int = 0
 
     def within(self, workspace: str) -> "CallFacts":
-        """Return the facts of a workspace's call: its names are its own.
+        """Return the facts with all ids scoped to a workspace.
 
         Examples
         --------
@@ -91,37 +91,38 @@
         ('acme/p', 'acme/q')
         """
 
-        def own(name: str) -> str:
+        def scope_name(name: str) -> str:
             return workspaces.scoped(workspace, name) if name else name
 
         return dataclasses.replace(
             self,
             workspace=workspace,
-            program=histories.ProgramId(own(self.program)),
-            previous=self.previous and histories.TurnId(own(self.previous)),
-            turn=histories.TurnId(own(self.turn)),
+            program=histories.ProgramId(scope_name(self.program)),
+            previous=self.previous
+            and histories.TurnId(scope_name(self.previous)),
+            turn=histories.TurnId(scope_name(self.turn)),
         )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What an upstream's answer says.
+    """Data in the header fields of an upstream's answer.
 
     Parameters
     ==========
 
     request : str
-        Id of the request that it answers, or empty.
+        Id of the request to which it belongs, or empty.
     not_run : bool
         The upstream states that it did not run the request.
     wrong_upstream : bool
-        Another upstream has the address now.
+        The address belongs to another upstream now.
     sealed : bool
         The answer bears the upstream's signature.
     upstream : str
-        Id of the upstream that answered, where it says so.
+        Id of the upstream that answered, or empty.
     weights : str
-        Version of the weights with which it answers, or empty.
+        Version of the model weights that generate the answer, or empty.
     """
 
     request: str = ""
@@ -134,15 +135,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EventFacts:
-    """What one event of a stream says of itself.
+    """Data in one event of a stream.
 
     Parameters
     ==========
 
     number : int or None
-        Its id; ids increase within a stream.
+        Id of the event; ids increase within a stream.
     weights : str
-        Version of the weights, if it changes at this event.
+        New version of the model weights, if it changes at this event.
     """
 
     number: int | None = None
@@ -151,24 +152,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamExtra:
-    """What the system adds to a call.
+    """Values that forwarding adds to a call's header fields.
 
     Parameters
     ==========
 
     remaining : float or None
-        Seconds that the upstream has.
+        Seconds that the upstream has to answer.
     upstream : str
         Id of the only upstream that may run the call.
     urgency : int or None
-        Rank among other calls there, 0 first.
+        Priority among the calls of the upstream; 0 comes first.
     last_event : int or None
-        Id of the last event that the caller has; the stream goes on behind
-        it.
+        Id of the last event that the caller received; the stream resumes
+        after it.
     weights : str
-        The only version of the weights that may go on.
+        The only version of the model weights that may resume the stream.
     workspace : str
-        Whose call it is, or empty.
+        The workspace of the caller, or empty.
     """
 
     remaining: float | None = None
@@ -179,18 +180,19 @@
     workspace: str = ""
 
 
-# Of these a program's home may make light: the list can't be read while the
-# log is away, and who begins a home tells all others.
-_LIGHT_DOUBTS = {certainty.Doubt.OLD_LIST}
+# An offline budget may be opened despite these doubts: the list of VMs can't
+# be read while the log is away, and a VM asks all others before it opens one.
+_DOUBTS_IGNORED_OFFLINE = {certainty.Doubt.OLD_LIST}
 
 
 class Question(enum.Enum):
-    """What the other VMs are asked for.
+    """The purpose of a query to the other VMs.
 
-    ``TAKER``: one that can run the turn.  ``TURN``: whether there is such a
-    turn; the list of VMs is read first, for one may have joined since.
-    ``HOME``: whether the program may go on here while the log is away.
-    ``UNSETTLED``: what it used at other VMs that the log does not charge.
+    ``TAKER``: find a VM that can run the turn.  ``TURN``: find out whether
+    the turn exists; the list of VMs is read first, as a VM may have joined.
+    ``HOME``: find out whether an offline budget of the program may be
+    opened here while the log is away.  ``UNSETTLED``: find the tokens that
+    other VMs spent and the log does not charge yet.
     """
 
     TAKER = "taker"
@@ -201,7 +203,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finding:
-    """What other VMs know of a program.
+    """The combined answers of other VMs about a program.
 
     Parameters
     ==========
@@ -209,32 +211,38 @@
     taker : Upstream or None
         A VM that can run the turn.
     chain_holder : Upstream or None
-        A VM that has the whole chain that is to be continued.
+        A VM that has the complete chain that the turn continues.
     is_answered : bool
-        Some VM answered.
+        Whether the answers may be acted on: a VM answered, and the budget
+        for messages allowed the query.
     is_refused : bool
-        This VM asks too much already; nobody was asked, or not everybody.
+        This VM's budget for messages is used up: it asked no other VM, or
+        only some.
     doubts : tuple of Doubt
-        Why a turn that nobody knows might be kept by a VM all the same.
+        Reasons why a VM may hold a turn that no answer contains.
     has_gone_on : bool
-        Another VM has asked before whether the program may go on there.
+        Another VM has asked before whether it may open an offline budget of
+        the program.
     is_known : bool
-        Some VM knows the program.
+        A VM has turns of the program.
     is_certain : bool
-        No VM that a program of this data centre could have begun at was
-        left out.
+        All VMs of this data centre have answered, and neither this VM nor
+        any that answered was started too recently.
     is_deferred : bool
-        Another VM is about to run a turn of the program.
+        Another VM may open an offline budget of the program first.
     is_known_turn : bool
-        Some VM knows the turn that is to be continued.
+        A VM has the turn that this one continues.
     charged : int
-        Tokens that records charge the program with, as far as they know.
+        Tokens that records charge to the program, as far as these VMs have
+        read them.
     home_tokens : int
-        Tokens that it may spend at other VMs while the log is away.
+        Tokens in offline budgets of the program at other VMs, including
+        spent ones that the log does not charge yet.
     unsettled : dict
-        Turns that ran at homes, and the tokens that the log may not charge.
+        Tokens of turns that ran on offline budgets, by turn; the log may
+        not charge them yet.
     home_left : int
-        Tokens that it may still spend at VMs that don't reach the log.
+        Tokens that offline budgets may still spend.
     """
 
     taker: upstreams.Upstream | None = None
@@ -256,8 +264,8 @@
 
     @property
     def facts(self) -> list[str]:
-        """What decides, by name, for the log."""
-        told = [
+        """Names of the properties that hold, for the log line."""
+        names = [
             name
             for name in (
                 "is_answered",
@@ -271,21 +279,21 @@
             if getattr(self, name)
         ]
         if self.taker is not None:
-            told.append("taker")
+            names.append("taker")
         if self.chain_holder is not None:
-            told.append("chain_holder")
-        return [*told, *(doubt.value for doubt in self.doubts)]
+            names.append("chain_holder")
+        return [*names, *(doubt.value for doubt in self.doubts)]
 
     @property
     def knows_all(self) -> bool:
-        """Whether nobody can have spent what nobody tells of."""
-        return not set(self.doubts) - _LIGHT_DOUBTS
+        """Whether the answers cover all tokens that VMs may have spent."""
+        return not set(self.doubts) - _DOUBTS_IGNORED_OFFLINE
 
 
 class Peers(abc.ABC):
-    """The other VMs, as far as callers' requests need them."""
+    """Queries to the other VMs, and relaying of requests."""
 
-    # Whether callers are better served by other data centres just now.
+    # Whether callers should connect to another data centre for now.
     send_away: bool = False
 
     @abc.abstractmethod
@@ -295,46 +303,46 @@
         on_done: Callable[[Finding], None],
         question: Question = Question.TAKER,
     ) -> None:
-        """Ask the other VMs about a turn's program and its chain."""
+        """Query the other VMs about a turn's program and its chain."""
 
     def may_owe(self, program: histories.ProgramId) -> bool:
-        """Return whether other VMs may have turns that are not charged."""
+        """Return whether other VMs may have spent tokens not yet charged."""
         return False
 
     def relayed_field(self, taker: upstreams.Upstream) -> tuple[str, str]:
-        """Return what tells a VM that another one has passed a request on."""
+        """Return the header field that marks a relayed request."""
         return (RELAYED_NAME, taker.id)
 
     def is_relayed(self, header: HeaderGetter) -> bool:
-        """Return whether another VM has passed a request on.
+        """Return whether another VM has relayed a request.
 
-        Callers can't make one believe so: such a request is not asked for
-        its key again.
+        Callers must not be able to forge this, as the key of a relayed
+        request is not checked again.
         """
         return False
 
 
 class NoPeers(Peers):
-    """A VM alone."""
+    """No other VMs."""
 
     def find(self, facts, on_done, question=Question.TAKER) -> None:
-        """Report that there is nobody."""
+        """Report an empty finding."""
         on_done(Finding(doubts=()))
 
 
 class WireFormat(abc.ABC):
-    """Header fields of calls and answers."""
+    """Decodes and encodes header fields of calls and answers."""
 
     @abc.abstractmethod
     def decode_call(self, header: HeaderGetter) -> CallFacts:
-        """Return what a call's header fields say."""
+        """Return the data in a call's header fields."""
 
     def decode_key(self, fields: Fields) -> str:
-        """Return the API key among a call's fields, or an empty text."""
+        """Return the API key in a call's header fields, or an empty string."""
         return ""
 
     def decode_workspace(self, header: HeaderGetter) -> str:
-        """Return the workspace that another VM has found out."""
+        """Return the workspace that the relaying VM has found."""
         return ""
 
     @abc.abstractmethod
@@ -345,16 +353,16 @@
     def decode_answer(
         self, status: int, headers: dict[str, str]
     ) -> AnswerFacts:
-        """Return what an answer says; header names are in lower case."""
+        """Return the data of an answer; header names are in lower case."""
 
     @abc.abstractmethod
     def decode_event(self, event: bytes) -> EventFacts:
-        """Return what a whole event of a stream says."""
+        """Return the data of a complete event of a stream."""
 
     @abc.abstractmethod
     def caller_fields(self, fields: Fields, sealed: bool) -> Fields:
-        """Return the header fields of an upstream's answer to pass on."""
+        """Return the header fields of an upstream's answer to relay."""
 
     @abc.abstractmethod
     def own_fields(self, request: str, retry_after: float | None) -> Fields:
-        """Return the header fields of an answer of our own."""
+        """Return the header fields of an answer that this VM generates."""
--- a/postspring/forwarding/refusals.py
+++ b/postspring/forwarding/refusals.py
@@ -1,48 +1,49 @@
-"""Why a call gets an answer of our own, and which one."""
+"""Answers that a VM generates itself, by reason."""
 
 import enum
 
 __all__ = ["Refusal"]
 
-# Callers heed a Retry-After of up to a third of the time that they have.
-LONGEST_SHARE = 0.32
+# Callers ignore a Retry-After above a third of their remaining time.
+MAX_RETRY_AFTER_SHARE = 0.32
 
 
 class Refusal(enum.Enum):
-    """A reason, its status, and when the caller may come back.
+    """Reason of a refusal, with its status and delay before a retry.
 
     Explanation
     ===========
 
-    Status 503 promises that the call did not run and never will; 502 and
-    504 promise nothing.  ``retry_after`` is in seconds; what is out of
-    reach stays so for some seconds, so those callers come back later.
+    Status 503 guarantees that the call did not run and never will; 502 and
+    504 leave that open.  ``retry_after`` is in seconds; it is longer where
+    the cause is a network failure, which lasts for some seconds.
     """
 
     NO_CONFIGURATION = ("no_configuration", 503, 0.5)
     UPSTREAMS_UNREACHABLE = ("upstreams_unreachable", 503, 1.2)
     CUT_OFF = ("cut_off", 503, 1.2)
     SHUTTING_DOWN = ("shutting_down", 503, 0.05)
-    # It never fits: no time to come back is told.
+    # The call never fits, so a retry is useless.
     TOO_LARGE = ("too_large", 503, None)
     NO_ROUTE = ("no_route", 404, None)
     ID_TOO_LONG = ("id_too_long", 400, None)
     UNKNOWN_KEY = ("unknown_key", 401, None)
-    # The key may have been added a moment ago.
+    # The key may be in a configuration that this VM has not read yet.
     KEY_UNCERTAIN = ("key_uncertain", 503, 0.5)
-    # The log has confirmed nothing for too long: the key may be gone.
+    # The log has not confirmed the configuration for too long: the key may
+    # be revoked.
     KEYS_UNCONFIRMED = ("keys_unconfirmed", 503, 0.8)
-    # Another VM passed the call on, to a process that ended or to one whose
-    # configuration is older.
+    # Another VM relayed the call to a process that has ended, or to one with
+    # an older configuration.
     WORKSPACE_UNKNOWN = ("workspace_unknown", 503, 0.2)
-    # How long depends on the limit.
+    # The limiter computes the delay.
     OVER_LIMIT = ("over_limit", 429, 0.5)
     LIMIT_UNKNOWN = ("limit_unknown", 503, 0.4)
     ROUTE_UNCERTAIN = ("route_uncertain", 503, 0.5)
     NO_UPSTREAM = ("no_upstream", 503, 0.3)
     UPSTREAMS_REFUSED = ("upstreams_refused", 503, 0.1)
     JOURNAL_UNAVAILABLE = ("journal_unavailable", 503, 1.2)
-    # The turn is known, one before it is not: nobody who was asked has it.
+    # The previous turn was found, but not its whole chain; no VM asked has it.
     HISTORY_INCOMPLETE = ("history_incomplete", 503, 1.2)
     TURN_UNCERTAIN = ("turn_uncertain", 503, 1.2)
     BUDGET_RESERVED = ("budget_reserved", 503, 0.2)
@@ -58,23 +59,25 @@
         self.retry_after = retry_after
 
     def retry_after_within(
-        self, remaining: float | None, told: float | None = None
+        self, remaining: float | None, call_retry_after: float | None = None
     ) -> float | None:
-        """Return when to come back; callers heed a third of what they have.
+        """Return the delay before a retry, capped for the caller.
 
         Parameters
         ----------
         remaining : float or None
-            Seconds that the caller has left.
-        told : float or None
-            When it is worth coming back, if that depends on the call.
+            Seconds until the caller's deadline.
+        call_retry_after : float or None
+            Delay that replaces the refusal's own, if it depends on the call.
         """
-        seconds = self.retry_after if told is None else told
+        seconds = (
+            self.retry_after if call_retry_after is None else call_retry_after
+        )
         if seconds is None or remaining is None:
             return seconds
-        return min(seconds, max(0.0, remaining) * LONGEST_SHARE)
+        return min(seconds, max(0.0, remaining) * MAX_RETRY_AFTER_SHARE)
 
     @property
     def did_not_run(self) -> bool:
-        """Whether the answer promises that the call did not run."""
+        """Whether the status guarantees that the call did not run."""
         return self.status in (400, 401, 402, 404, 429, 503)
--- a/postspring/forwarding/relay.py
+++ b/postspring/forwarding/relay.py
@@ -1,4 +1,4 @@
-"""What all receivers that answer a caller have in common."""
+"""Base class of the receivers that answer a caller."""
 
 from postspring.forwarding import delivery as delivery_module
 from postspring.forwarding import dispatch
@@ -11,7 +11,7 @@
 
 
 class CallerRelay(dispatch.Receiver):
-    """Passes an upstream's answer on to the caller."""
+    """Relays an upstream's answer to the caller."""
 
     def __init__(
         self,
@@ -25,38 +25,38 @@
         self._facts = facts
         self._outcome = outcome
         self._status = 0
-        call.on_out_of_time = self.out_of_time
+        call.on_out_of_time = self.conclude
         self.delivery: delivery_module.Delivery | None = None
 
     def answered(self, status: int, fields: list, body: bytes) -> None:
-        """Pass a whole answer on."""
+        """Relay a complete answer."""
         self._status = status
         self._call.respond(status, fields, body)
         self.report("answered")
 
     def stream_started(self, status: int, fields: list) -> None:
-        """Begin the answer."""
+        """Start a streamed answer."""
         self._status = status
         self._call.start(status, fields)
 
     def stream_events(self, events: list[bytes]) -> None:
-        """Pass events on."""
+        """Relay events."""
         self._call.send(b"".join(events))
 
     def stream_broken(self, reason: str) -> None:
-        """Close the connection: the answer must not look complete."""
+        """Close the connection, so that the answer does not look complete."""
         self._call.abort()
         self.report("broken_off", reason=reason)
 
     def refuse(
         self, refusal: refusals.Refusal, retry_after: float | None = None
     ) -> None:
-        """Give an answer of our own.
+        """Answer the caller with a refusal.
 
         Parameters
         ----------
         retry_after : float or None
-            When to come back, in seconds, if the refusal does not say it.
+            Seconds that replace the refusal's own ``retry_after``.
         """
         now = self._dispatcher.timers.now()
         remaining = None
@@ -72,16 +72,16 @@
         self._add_delivery()
         self._outcome.report_refusal(refusal, now)
 
-    def out_of_time(self) -> None:
-        """Have the final answer given: this VM is about to end."""
+    def conclude(self) -> None:
+        """End the call with a final answer, as this VM is about to stop."""
         if self.delivery is not None:
-            self.delivery.run_out()
+            self.delivery.conclude()
 
-    def report(self, text: str, **fields) -> None:
+    def report(self, outcome: str, **fields) -> None:
         """Log and count the call's outcome."""
         self._add_delivery()
         now = self._dispatcher.timers.now()
-        self._outcome.report(text, now, status=self._status, **fields)
+        self._outcome.report(outcome, now, status=self._status, **fields)
 
     def _add_delivery(self) -> None:
         delivery = self.delivery
--- a/postspring/forwarding/silence_timer.py
+++ b/postspring/forwarding/silence_timer.py
@@ -1,4 +1,4 @@
-"""How long an upstream's silence is borne before another one is asked."""
+"""Timeout between two signs of life of an upstream."""
 
 from collections.abc import Callable
 
@@ -7,17 +7,17 @@
 
 __all__ = ["SilenceTimer", "silence_timeout_of"]
 
-# Times a route's objectives: callers leave a stream after four times the
-# objective to its first event, or eight times that of its pauses, but not
-# before 2 s; what is left of that has to do for another upstream.
+# Factors of a route's objectives.  Callers close a stream after four times
+# the objective of its first event, or eight times the objective of its
+# pauses, but not before 2 s; another upstream has to answer in the rest.
 FIRST_EVENT_FACTOR = 2.0
 PAUSE_FACTOR = 4.0
 
 
 def silence_timeout_of(route: routing.Route) -> float | None:
-    """Return after how many seconds of silence a call is tried elsewhere.
+    """Return the seconds of silence after which a call is retried.
 
-    None if it may not run twice.
+    None if the call may not run twice.
 
     Examples
     --------
@@ -43,18 +43,18 @@
 
 
 class SilenceTimer:
-    """Tells when an upstream has been silent for too long.
+    """Calls a function when an upstream has been silent for too long.
 
-    One timer serves all events of a stream: it looks when the last one
-    came, which costs nothing for each event.
+    An event only stores its time; the timer compares that when it fires.
+    So events don't cancel and create timers.
 
     Parameters
     ==========
 
     seconds : float or None
-        After how much of it; None: never.
+        Timeout; None disables the timer.
     on_silent : callable
-        Called then, once for each :meth:`start`.
+        Called at most once for each :meth:`start`.
     """
 
     def __init__(
@@ -66,34 +66,34 @@
         self._timers = timers
         self._seconds = seconds
         self._on_silent = on_silent
-        self._heard_at = 0.0
+        self._last_received_at = 0.0
         self._timer: transport.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin anew."""
+        """Start or restart the timer."""
         if self._seconds is None:
             return
         self.stop()
-        self.heard()
-        self._wait(self._seconds)
+        self.reset()
+        self._schedule(self._seconds)
 
-    def heard(self) -> None:
-        """Take note that something came."""
-        self._heard_at = self._timers.now()
+    def reset(self) -> None:
+        """Restart the timeout, as data was received."""
+        self._last_received_at = self._timers.now()
 
     def stop(self) -> None:
-        """Wait no longer."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _wait(self, seconds: float) -> None:
-        self._timer = self._timers.call_later(seconds, self._look)
+    def _schedule(self, seconds: float) -> None:
+        self._timer = self._timers.call_later(seconds, self._check)
 
-    def _look(self) -> None:
-        left = self._heard_at + self._seconds - self._timers.now()
-        if left > 0:
-            self._wait(left)
+    def _check(self) -> None:
+        remaining = self._last_received_at + self._seconds - self._timers.now()
+        if remaining > 0:
+            self._schedule(remaining)
         else:
             self._timer = None
             self._on_silent()
--- a/postspring/forwarding/stream_position.py
+++ b/postspring/forwarding/stream_position.py
@@ -1,4 +1,4 @@
-"""Where a stream stands, and what may follow it from another upstream."""
+"""The position at which another upstream resumes a stream."""
 
 from collections.abc import Callable
 
@@ -8,20 +8,20 @@
 
 
 class StreamPosition:
-    """The last event that the caller has, and with which weights.
+    """The last event sent to the caller, and the version of the weights.
 
     Explanation
     ===========
 
-    A stream goes on behind that event, and with the same weights: text that
-    other weights generated does not continue it.  An upstream that begins
-    again, or doubles an event, is not joined.
+    A stream is resumed after that event and with the same weights, as text
+    of other weights would not continue it.  Events of an upstream that
+    starts again, or repeats an event, are rejected.
 
     Parameters
     ==========
 
     decode_event : callable
-        Returns what an event says of itself.
+        Returns the :class:`EventFacts` of an event.
 
     Examples
     ========
@@ -30,9 +30,9 @@
     ...     return ports.EventFacts(int(event))
     >>> position = StreamPosition(decode)
     >>> position.begin("1")
-    >>> position.follow([b"1", b"2"]), position.last_event
+    >>> position.advance([b"1", b"2"]), position.last_event
     (True, 2)
-    >>> position.follow([b"2"]), position.follow([b"3"])
+    >>> position.advance([b"2"]), position.advance([b"3"])
     (False, True)
     """
 
@@ -42,16 +42,16 @@
         self.weights = ""
 
     def begin(self, weights: str) -> None:
-        """Take note that a stream starts, and with which weights."""
+        """Store the version of the weights at the start of the stream."""
         self.weights = weights
 
-    def follow(self, events: list[bytes]) -> bool:
-        """Take events; return whether they follow what the caller has."""
+    def advance(self, events: list[bytes]) -> bool:
+        """Move past events; return False if one does not follow the last."""
         for event in events:
             facts = self._decode(event)
             if facts.number is not None:
-                last = self.last_event
-                if last is not None and facts.number <= last:
+                last_number = self.last_event
+                if last_number is not None and facts.number <= last_number:
                     return False
                 self.last_event = facts.number
             if facts.weights:
--- a/postspring/forwarding/tests/test_certainty.py
+++ b/postspring/forwarding/tests/test_certainty.py
@@ -1,4 +1,4 @@
-"""What makes a VM unsure that there is no such thing."""
+"""Reasons for a VM not to deny that a route or key exists."""
 
 import math
 import unittest
@@ -7,24 +7,24 @@
 
 
 class DoubtsTest(unittest.TestCase):
-    """Every reason alone, and none."""
+    """Each reason on its own, and no reason."""
 
     def doubts(self, age, **other):
-        """Return the doubts at an age; the bound is 2 s."""
+        """Return the doubts for a view's age and a bound of 2 s."""
         return forwarding.doubts_of(age, 2.0, **other)
 
-    def test_up_to_the_bound_there_is_none(self):
+    def test_no_doubt_up_to_the_bound(self):
         self.assertEqual((), self.doubts(0.0))
         self.assertEqual((), self.doubts(2.0))
 
-    def test_beyond_the_bound(self):
+    def test_view_older_than_the_bound(self):
         self.assertEqual((forwarding.Doubt.OLD,), self.doubts(2.001))
 
-    def test_a_log_that_never_answered(self):
+    def test_log_that_never_answered(self):
         self.assertEqual(
             (forwarding.Doubt.LOG_UNHEARD,), self.doubts(math.inf)
         )
 
-    def test_a_record_that_can_not_be_read(self):
+    def test_undecodable_newest_record(self):
         found = self.doubts(0.0, is_readable=False)
         self.assertEqual((forwarding.Doubt.UNREADABLE,), found)
--- a/postspring/forwarding/turn_call.py
+++ b/postspring/forwarding/turn_call.py
@@ -1,4 +1,4 @@
-"""Turns whose history the system keeps."""
+"""Turns whose history is kept in the log."""
 
 from collections.abc import Callable
 
@@ -14,36 +14,37 @@
 __all__ = ["TurnCall"]
 
 OPEN_TIMEOUT_SECONDS = budgeted_call.OPEN_TIMEOUT_SECONDS
-# A turn whose upstream was late has this long to be recorded all the same,
-# in seconds: a caller is to hear of its end within 0.25 s of its timeout, and
-# an upstream may be late by 0.15 s.
-LEAST_SAFE_SECONDS = 0.1
+# Minimum time for recording a turn whose upstream answered late.  The caller
+# must get the end of the answer within 0.25 s after its timeout, and an
+# upstream may be late by 0.15 s.
+MIN_COMPLETION_SECONDS = 0.1
 
 
 class TurnCall(budgeted_call.BudgetedCall):
-    """One turn: find its chain, reserve its ceiling, run, record.
+    """One turn of a program whose history is kept.
 
     Explanation
     ===========
 
-    A turn is recorded as whole, or kept by other VMs, before the end of its
-    answer is passed on.  If neither can be done by the deadline, the answer
-    is broken off: it must not look complete.
+    The turn's chain of previous turns is read, its ceiling is reserved, the
+    turn runs and is recorded.  Either its record is in the log, or other VMs
+    hold replicas of it, before the end of the answer is relayed.  If neither
+    is so by the deadline, the answer is aborted: it must not look complete.
     """
 
     def __init__(self, *arguments, **options):
         super().__init__(*arguments, **options)
         self._chain = histories.Chain(None)
         self._output: list[bytes] = []
-        self._end_now: Callable[[], None] | None = None
-        self._size = len(self._call.body)
+        self._complete_now: Callable[[], None] | None = None
+        self._turn_bytes = len(self._call.body)
 
     # -- before it runs -------------------------------------------------------
 
     def _prepare(self) -> None:
-        """Find the chain that the turn continues."""
+        """Read the chain that the turn continues, then open the turn."""
         if len(self._call.body) > self._journal.sizes.input:
-            # The log would never take its record.
+            # The log would refuse its record as too large.
             self._close(refusals.Refusal.TOO_LARGE)
             return
         if self._facts.previous is None:
@@ -54,24 +55,24 @@
             self._facts.previous,
             OPEN_TIMEOUT_SECONDS,
             self._chain_found,
-            self._chain_not_read,
+            self._chain_unreadable,
         )
 
     def _chain_found(self, chain: histories.Chain | None) -> None:
         if self._closed:
             return
         if chain is None:
-            self._ask_others(self._not_found, ports.Question.TURN)
+            self._query_peers(self._check_turn_absent, ports.Question.TURN)
             return
         self._chain = chain
         self._open()
 
-    def _chain_not_read(self, error: histories.HistoryError) -> None:
+    def _chain_unreadable(self, error: histories.HistoryError) -> None:
         if isinstance(error, histories.IncompleteChain):
             self._outcome.add(missing=error.missing)
-            self._ask_others(self._incomplete)
+            self._query_peers(self._refuse_incomplete)
         else:
-            self._ask_others(self._unavailable)
+            self._query_peers(self._refuse_unavailable)
 
     def _outbound_call(self) -> choice.OutboundCall:
         body = b"".join((*self._chain.parts, self._call.body))
@@ -79,9 +80,11 @@
             self._call, self._facts, body, self._chain.upstream
         )
 
-    # -- with the help of other VMs -------------------------------------------
+    # -- other VMs ------------------------------------------------------------
 
-    def _helper(self, finding: ports.Finding) -> upstreams.Upstream | None:
+    def _relay_target(
+        self, finding: ports.Finding
+    ) -> upstreams.Upstream | None:
         if finding.taker is None and not self._has_chain:
             return finding.chain_holder
         return finding.taker
@@ -91,21 +94,21 @@
         previous = self._facts.previous
         return previous is None or self._chain.head is not None
 
-    def _not_found(self, finding: ports.Finding) -> None:
-        """The log has no such turn; another VM might still keep it."""
+    def _check_turn_absent(self, finding: ports.Finding) -> None:
+        """Read the log once more if no VM can hold the previous turn."""
         if finding.doubts or finding.is_known_turn:
-            self._uncertain(*finding.doubts)
+            self._refuse_uncertain(*finding.doubts)
             return
-        # A VM that recorded the turn and left meanwhile was not asked.
+        # A VM that recorded the turn and then left may not have been asked.
         self._journal.find_chain(
             self._program,
             self._facts.previous,
             OPEN_TIMEOUT_SECONDS,
-            self._found_at_last,
-            lambda error: self._uncertain(certainty.Doubt.LOG_UNREAD),
+            self._chain_reread,
+            lambda error: self._refuse_uncertain(certainty.Doubt.LOG_UNREAD),
         )
 
-    def _found_at_last(self, chain: histories.Chain | None) -> None:
+    def _chain_reread(self, chain: histories.Chain | None) -> None:
         if self._closed:
             return
         if chain is None:
@@ -114,25 +117,25 @@
         self._chain = chain
         self._open()
 
-    def _incomplete(self, finding: ports.Finding) -> None:
+    def _refuse_incomplete(self, finding: ports.Finding) -> None:
         self._close(refusals.Refusal.HISTORY_INCOMPLETE)
 
-    def _uncertain(self, *doubts: certainty.Doubt) -> None:
+    def _refuse_uncertain(self, *doubts: certainty.Doubt) -> None:
         if not self._closed:
             self._outcome.add(doubts=[doubt.value for doubt in doubts])
             self._close(refusals.Refusal.TURN_UNCERTAIN)
 
     @property
-    def _may_have_begun(self) -> bool:
-        # Then it would name a turn, which nobody here has.
+    def _may_have_run_elsewhere(self) -> bool:
+        # A caller that continues a program names its previous turn.
         return False
 
-    # -- from the delivery ----------------------------------------------------
+    # -- callbacks of the delivery --------------------------------------------
 
     def _pass_events(self, events: list[bytes]) -> None:
         data = [event_splitter.event_data(event) + b"\n" for event in events]
-        self._size += sum(map(len, data))
-        if self._size > self._journal.sizes.turn:
+        self._turn_bytes += sum(map(len, data))
+        if self._turn_bytes > self._journal.sizes.turn:
             self.delivery.cancel()
             self.stream_broken("too_large")
             return
@@ -140,41 +143,42 @@
         super()._pass_events(events)
 
     def stream_ended(self) -> None:
-        """Record the turn; only then the answer is complete.
+        """Record the turn, and complete the answer after that.
 
-        Its caller doesn't wait beyond the deadline: an answer that had never
-        ended was held until somebody closed the connection.
+        The deadline bounds the wait for the record: without it, an answer
+        stayed open until one side closed the connection.
         """
         left = self._deadline - self._dispatcher.timers.now()
-        self._end_now = self._journal.complete_turn(
+        self._complete_now = self._journal.complete_turn(
             self._ticket,
             self._chain.head,
             self._tokens,
             self._call.body,
             b"".join(self._output),
             self.delivery.upstream.incarnation,
-            self._safe,
-            max(LEAST_SAFE_SECONDS, left),
+            self._turn_completed,
+            max(MIN_COMPLETION_SECONDS, left),
         )
 
-    def out_of_time(self) -> None:
-        """Have the final answer given: this VM is about to end.
+    def conclude(self) -> None:
+        """End the call with a final answer, as this VM is about to stop.
 
-        An answer that only waits to be recorded is whole if others keep the
-        turn, else broken off: it would promise that it can be gone on from.
+        An answer that only waits for its record is completed if other VMs
+        hold replicas of the turn.  Otherwise it is aborted, as a complete
+        answer means that later turns can continue from it.
         """
-        if self._end_now is not None:
-            self._end_now()
+        if self._complete_now is not None:
+            self._complete_now()
         else:
-            super().out_of_time()
+            super().conclude()
 
-    def _safe(self, how: str) -> None:
+    def _turn_completed(self, kept_by: str) -> None:
         if self._closed:
             return
-        if how == histories.NOWHERE:
-            # It may get into the log; its caller has not had it whole.
-            self._cut("unrecorded")
+        if kept_by == histories.NOWHERE:
+            # The log may still accept the record.
+            self._abort_answer("unrecorded")
             return
         self._closed = True
         self._call.finish()
-        self.report("answered", tokens=self._tokens, kept=how)
+        self.report("answered", tokens=self._tokens, kept=kept_by)
