--- a/postspring/scheduling/__init__.py
+++ b/postspring/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""Scheduling: placement, order, admission and retries, without I/O."""
+"""Scheduling policies: placement, queue order, urgency and retry budget."""
 
 from postspring.scheduling.order import Order
 from postspring.scheduling.order import order_by_name
--- a/postspring/scheduling/placement.py
+++ b/postspring/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Placement: which upstream gets a call."""
+"""Placement policies, which select the upstream of a call."""
 
 import abc
 from collections.abc import Sequence
@@ -19,41 +19,41 @@
     "RoundRobin",
     "excess_pace",
     "placement_by_name",
-    "usual_pace",
+    "typical_pace",
 ]
 
-# How many more calls of this VM an upstream may have in flight than the
-# least loaded one, and still be preferred: for being near, and for having
-# the history in memory (a prompt read again takes some 70 ms).
-NEAR_CALLS = 2
-AFFINITY_CALLS = 4
-# What an upstream that is twice as slow as usual counts for, in calls: a
-# line of turns then leaves it, as the rest of its turns would be late.
-SLOW_CALLS = 5.0
-# The usual pace is not known from fewer upstreams.
-LEAST_PACES = 3
-# Below this a pause between two events is no measure, in seconds.
-SHORTEST_PAUSE_SECONDS = 1e-3
+# How many more calls of this VM than the least loaded upstream a preferred
+# one may have in flight: an upstream of the same data centre, and the one that
+# has the history in memory (elsewhere the prompt takes some 70 ms to read).
+NEAR_MARGIN_CALLS = 2
+AFFINITY_MARGIN_CALLS = 4
+# Load in calls that is added for an upstream of twice the typical pause: above
+# the margins, so that a line of turns leaves it before more turns are late.
+SLOWNESS_PENALTY_CALLS = 5.0
+# A typical pace needs the pace of at least this many upstreams.
+MIN_PACES = 3
+# Lower bound of the typical pause between two events.
+MIN_PAUSE_SECONDS = 1e-3
 
 placement_by_name: registry.Registry = registry.Registry("placement")
 
 
 class Placement(abc.ABC):
-    """Chooses among upstreams that have room for a call."""
+    """Selects one of the upstreams that have room for a call."""
 
     @abc.abstractmethod
     def choose(
-        self, ticket: Any, candidates: Sequence[state.UpstreamState]
+        self, call: Any, candidates: Sequence[state.UpstreamState]
     ) -> state.UpstreamState | None:
-        """Return the upstream to use, or None to wait for a better one."""
+        """Return the upstream to use, or None to keep the call waiting."""
 
 
 @placement_by_name.register("random")
 class Random(Placement):
-    """Baseline: any upstream."""
+    """Baseline: a random upstream."""
 
-    def choose(self, ticket, candidates):
-        """Return any candidate."""
+    def choose(self, call, candidates):
+        """Return a random candidate."""
         return random.choice(candidates)
 
 
@@ -64,7 +64,7 @@
     def __init__(self):
         self._turn = 0
 
-    def choose(self, ticket, candidates):
+    def choose(self, call, candidates):
         """Return the next candidate."""
         self._turn += 1
         return candidates[self._turn % len(candidates)]
@@ -72,23 +72,24 @@
 
 @placement_by_name.register("least_load")
 class LeastLoad(Placement):
-    """Baseline: the upstream with the smallest share of its room used."""
+    """Baseline: the upstream with the smallest share of its slots used."""
 
-    def choose(self, ticket, candidates):
+    def choose(self, call, candidates):
         """Return the least loaded candidate."""
         return min(candidates, key=lambda upstream: upstream.load)
 
 
 @placement_by_name.register("near_affinity")
 class NearAffinity(Placement):
-    """Where the line of turns ran last, else near, else the least loaded.
+    """The line's last upstream, else a near one, else the least loaded.
 
     Explanation
     ===========
 
-    An upstream of the same data centre costs no bytes between data
-    centres, and goes on when the data centre is cut off.  One elsewhere is
-    taken when the near ones have clearly more of this VM's work.
+    An upstream of the same data centre causes no traffic between data
+    centres, and stays reachable when the data centre is cut off.  An
+    upstream elsewhere gets the call if all near ones have clearly more
+    calls of this VM.
 
     Examples
     ========
@@ -114,44 +115,44 @@
     'f'
     """
 
-    def choose(self, ticket, candidates):
-        """Return the line's last upstream, a near one, or any."""
-        cost_by_id = self._costs(ticket, candidates)
+    def choose(self, call, candidates):
+        """Return the last, a near or the least loaded upstream."""
+        cost_by_id = self._cost_by_id(call, candidates)
 
         def cost(upstream) -> float:
             return cost_by_id[upstream.id]
 
         least = min(candidates, key=cost)
         for upstream in candidates:
-            if upstream.incarnation == ticket.last_upstream:
-                if cost(upstream) <= cost(least) + AFFINITY_CALLS:
+            if upstream.incarnation == call.last_upstream:
+                if cost(upstream) <= cost(least) + AFFINITY_MARGIN_CALLS:
                     return upstream
         near = [
             upstream
             for upstream in candidates
-            if upstream.data_center == ticket.data_center
+            if upstream.data_center == call.data_center
         ]
         if near:
             nearest = min(near, key=cost)
-            if cost(nearest) <= cost(least) + NEAR_CALLS:
+            if cost(nearest) <= cost(least) + NEAR_MARGIN_CALLS:
                 return nearest
         return least
 
-    def _costs(self, ticket, candidates) -> dict[str, float]:
-        """Return what speaks against each upstream, in calls."""
+    def _cost_by_id(self, call, candidates) -> dict[str, float]:
+        """Return the cost of each upstream, in calls."""
         return {upstream.id: upstream.in_flight for upstream in candidates}
 
 
 @placement_by_name.register("paced_affinity")
 class PacedAffinity(NearAffinity):
-    """As near affinity, but slow upstreams count as loaded.
+    """Like near affinity, with an added cost for slow upstreams.
 
     Explanation
     ===========
 
-    With many VMs, each sees few of an upstream's calls; how fast its
-    streams come tells what all of them do there, and whether it is slow
-    for another reason.
+    With many VMs, each knows only few of an upstream's calls.  The pace of
+    the upstream's streams reflects the load by all VMs, and any other
+    reason why the upstream is slow.
 
     Examples
     ========
@@ -179,41 +180,42 @@
     'slow'
     """
 
-    def _costs(self, ticket, candidates):
-        costs = super()._costs(ticket, candidates)
-        usual = usual_pace(candidates, ticket.now)
+    def _cost_by_id(self, call, candidates):
+        costs = super()._cost_by_id(call, candidates)
+        typical = typical_pace(candidates, call.now)
         for upstream in candidates:
-            excess = excess_pace(upstream, usual, ticket.now)
-            costs[upstream.id] += SLOW_CALLS * excess
+            excess = excess_pace(upstream, typical, call.now)
+            costs[upstream.id] += SLOWNESS_PENALTY_CALLS * excess
         return costs
 
 
-def usual_pace(candidates, now: float) -> float | None:
-    """Return the usual pause between two events, if enough is known."""
+def typical_pace(candidates, now: float) -> float | None:
+    """Return the median pause between events; None with too few samples."""
     known = [item.pace for item in candidates if item.pace_trust(now)]
-    if len(known) < LEAST_PACES:
+    if len(known) < MIN_PACES:
         return None
-    return max(statistics.median(known), SHORTEST_PAUSE_SECONDS)
+    return max(statistics.median(known), MIN_PAUSE_SECONDS)
 
 
-def excess_pace(upstream, usual: float | None, now: float) -> float:
-    """Return how much slower than usual an upstream is, as far as trusted.
+def excess_pace(upstream, typical: float | None, now: float) -> float:
+    """Return an upstream's excess over the typical pause, as a ratio.
 
-    1.0 is twice as slow, seen just now.
+    The ratio is weighted by the age of the pace: 1.0 means twice the typical
+    pause, measured now.
     """
-    if usual is None:
+    if typical is None:
         return 0.0
-    excess = max(0.0, upstream.pace / usual - 1.0)
+    excess = max(0.0, upstream.pace / typical - 1.0)
     return excess * upstream.pace_trust(now)
 
 
 @placement_by_name.register("prefix_affinity")
 class PrefixAffinity(Placement):
-    """Baseline: where the program ran last, else the least loaded."""
+    """Baseline: the program's last upstream, else the least loaded."""
 
-    def choose(self, ticket, candidates):
+    def choose(self, call, candidates):
         """Return the program's last upstream, or the least loaded."""
         for upstream in candidates:
-            if upstream.incarnation == ticket.last_upstream:
+            if upstream.incarnation == call.last_upstream:
                 return upstream
         return min(candidates, key=lambda upstream: upstream.load)
--- a/postspring/scheduling/pool.py
+++ b/postspring/scheduling/pool.py
@@ -1,4 +1,4 @@
-"""The pool of upstreams: waiting calls on one side, room on the other."""
+"""A pool of upstreams with a queue of waiting calls for each target."""
 
 from collections.abc import Hashable
 from collections.abc import Iterator
@@ -19,17 +19,17 @@
     ==========
 
     key : hashable
-        Identifies the call for whoever submitted it.
+        Identifies the call to the code that submitted it.
     target : str
-        The model, tool or plain service that is called.
+        The model, tool or plain service that the call needs.
     priority : int
-        Larger goes first.
+        Calls with a larger value go first.
     enqueued_at : float
-        Seconds, on the clock that the pool is given.
+        Seconds, on the same clock as ``now`` of :class:`UpstreamPool`.
     last_upstream : str
-        Where the program ran last; empty if nowhere.
+        Incarnation of the program's last upstream, or empty.
     excluded : frozenset of str
-        Upstreams that failed this very call.
+        Ids of the upstreams at which this call failed.
     """
 
     key: Hashable
@@ -42,24 +42,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Assignment:
-    """A waiting call got an upstream."""
+    """A call and the upstream that was assigned to it."""
 
     ticket: Ticket
     upstream: state.UpstreamState
 
 
 class UpstreamPool:
-    """Matches waiting calls with upstreams that have room.
+    """Assigns waiting calls to upstreams that have room.
 
     Parameters
     ==========
 
     placement : Placement
-        Chooses among upstreams with room.
+        Selects one of the upstreams with room.
     order : Order
-        Chooses among waiting calls.
+        Orders the waiting calls.
     max_waiting : int
-        Calls that may wait for one target.
+        Maximum number of calls that wait for one target.
     """
 
     def __init__(
@@ -75,36 +75,36 @@
         self._waiting_by_target: dict[str, dict[Hashable, Ticket]] = {}
 
     def replace_upstreams(self, upstreams: list[state.UpstreamState]) -> None:
-        """Take a new set of upstreams; known ones keep what they learnt."""
+        """Replace the upstreams; those that remain keep their statistics."""
         known = self.upstream_by_id
         self.upstream_by_id = {}
         for upstream in upstreams:
-            former = known.get(upstream.id)
-            if former is not None and former.address == upstream.address:
-                former.reconfigure(upstream)
-                upstream = former
+            previous = known.get(upstream.id)
+            if previous is not None and previous.address == upstream.address:
+                previous.reconfigure(upstream)
+                upstream = previous
             self.upstream_by_id[upstream.id] = upstream
 
     def serves(self, target: str) -> bool:
-        """Return whether any upstream serves the target at all."""
+        """Return whether any upstream serves the target."""
         return any(
             target in upstream.serves
             for upstream in self.upstream_by_id.values()
         )
 
     def usable(self, target: str, now: float) -> bool:
-        """Return whether an upstream serves the target and is healthy."""
+        """Return whether an upstream of the target accepts calls."""
         return any(
             target in upstream.serves and upstream.accepts(now)
             for upstream in self.upstream_by_id.values()
         )
 
     def full(self, target: str) -> bool:
-        """Return whether as many calls wait for the target as may."""
+        """Return whether the target's queue has reached its maximum."""
         return len(self._waiting_by_target.get(target, ())) >= self.max_waiting
 
     def submit(self, ticket: Ticket) -> None:
-        """Add a waiting call; :meth:`assign` says when it gets its turn."""
+        """Add a waiting call; :meth:`assign` yields it later."""
         waiting = self._waiting_by_target.setdefault(ticket.target, {})
         waiting[ticket.key] = ticket
 
@@ -113,13 +113,13 @@
         self._waiting_by_target.get(target, {}).pop(key, None)
 
     def assign(self, now: float) -> Iterator[Assignment]:
-        """Yield the calls that get an upstream now, and count them there."""
+        """Assign calls to upstreams, and yield the assignments."""
         for target, waiting in self._waiting_by_target.items():
             if waiting:
                 yield from self._assign_target(target, waiting, now)
 
     def release(self, upstream_id: str, *, failed: bool, now: float) -> None:
-        """Give back the room that one call took."""
+        """Release the slot of a call, and count its success or failure."""
         upstream = self.upstream_by_id.get(upstream_id)
         if upstream is None:
             return
--- a/postspring/scheduling/retry_budget.py
+++ b/postspring/scheduling/retry_budget.py
@@ -1,4 +1,4 @@
-"""A budget that keeps retries a small share of first attempts."""
+"""A budget that limits retries to a small share of first attempts."""
 
 __all__ = ["RetryBudget"]
 
@@ -10,7 +10,8 @@
     ===========
 
     Each first attempt deposits ``share`` of a token, each retry takes one.
-    The balance is bounded, so that a quiet hour does not pay for a storm.
+    The balance is bounded, so that a time without retries does not allow a
+    retry storm later.
 
     Parameters
     ==========
@@ -18,7 +19,7 @@
     share : float
         Retries allowed per first attempt.
     reserve : float
-        The balance to begin with, and its upper bound.
+        Initial balance, which is also its upper bound.
 
     Examples
     ========
--- a/postspring/scheduling/shared_load.py
+++ b/postspring/scheduling/shared_load.py
@@ -1,37 +1,39 @@
-"""Placement by the load that all VMs together put on upstreams.
+"""Placement by the load of all VMs on the upstreams.
 
-The pattern that it answers: many VMs before engines that are nearly full.
-Each VM sees a small part of an upstream's calls, so the least loaded by its
-own calls is chance, and some engines queue while others have room.  What
-the others have in flight is told some times a second.
+It is meant for many VMs in front of engines that are nearly full.  Each VM
+sends a small part of an upstream's calls, so the least loaded upstream by
+its own calls is almost random, and some engines queue calls while others have
+room.  VMs exchange their numbers of calls in flight several times a second.
 """
 
 from postspring.scheduling import placement
 
 __all__ = ["SharedAffinity"]
 
-# Of so many candidates, in random order, the one with fewer calls is taken.
-# The figures are some hundred ms old: when each VM takes the least loaded of
-# all, they take the same one.  Programs on time in the model's burst (four
-# seeds): 96% with one, 95% with two, 99% with three, 95% with all 23.
-CHOICES = 3
-# By how many times its concurrency an upstream may have more calls than
-# another one, and keep a line whose prompt it has in memory.  A batch more
-# makes a turn wait for about one turn, and a prompt that is read elsewhere
-# holds up a whole batch there.  On time in the model: 98% with half of it, 99%
-# with this, 99% with twice; in a heavier burst 51% with half, 69% with this.
-STAY_BATCHES = 1.0
-# The same for an upstream of this data centre: bytes between data centres
-# cost, and work that stays inside goes on when it is cut off.
-NEAR_BATCHES = 0.25
-# What an upstream that is twice as slow as usual counts for, in times its
-# concurrency: more than a line is kept for, as the rest would be late.
-SLOW_BATCHES = 1.25
+# Size of the random sample of which the least loaded upstream is chosen.  The
+# exchanged loads are some hundred ms old: if each VM chose the least loaded of
+# all upstreams, all VMs would choose the same one.  Programs on time in the
+# model's burst (four seeds): 96% with one, 95% with two, 99% with three, 95%
+# with all 23.
+SAMPLE_SIZE = 3
+# How many more calls than the best upstream the line's last one may have, as a
+# multiple of its concurrency.  One more batch delays a turn by about one turn,
+# and a prompt that another upstream has to read delays a whole batch there.
+# Programs on time in the model: 98% with 0.5, 99% with 1.0, 99% with 2.0; in a
+# heavier burst 51% with 0.5, 69% with 1.0.
+AFFINITY_MARGIN_BATCHES = 1.0
+# The same margin for upstreams of this data centre: traffic between data
+# centres is charged, and near calls continue when this data centre is cut off.
+NEAR_MARGIN_BATCHES = 0.25
+# Load added for an upstream of twice the typical pause, as a multiple of its
+# concurrency: above the affinity margin, so that a line leaves the upstream
+# before more of its turns are late.
+SLOWNESS_PENALTY_BATCHES = 1.25
 
 
 @placement.placement_by_name.register("shared_affinity")
 class SharedAffinity(placement.Placement):
-    """Where the line of turns ran last, else the freest of some.
+    """The line's last upstream, else the least loaded of a sample.
 
     Examples
     ========
@@ -59,40 +61,42 @@
     'a'
     """
 
-    def choose(self, ticket, candidates):
-        """Return the line's last upstream, or the one with the fewest calls.
+    def choose(self, call, candidates):
+        """Return the line's last upstream, or the least loaded of a sample.
 
-        While no VM tells what it has, this one's own calls are known
-        exactly, and all candidates are compared.
+        Without loads of other VMs, this VM's own loads are exact, and all
+        candidates are compared.
         """
-        now = ticket.now
-        usual = placement.usual_pace(candidates, now)
+        now = call.now
+        typical = placement.typical_pace(candidates, now)
 
         def cost(upstream) -> float:
-            excess = placement.excess_pace(upstream, usual, now)
-            slowness = SLOW_BATCHES * upstream.concurrency * excess
+            excess = placement.excess_pace(upstream, typical, now)
+            slowness = SLOWNESS_PENALTY_BATCHES * upstream.concurrency * excess
             return upstream.calls_of_all(now) + slowness
 
         def far_cost(upstream) -> float:
-            is_near = upstream.data_center == ticket.data_center
-            margin = 0.0 if is_near else NEAR_BATCHES * upstream.concurrency
+            is_near = upstream.data_center == call.data_center
+            margin = (
+                0.0 if is_near else NEAR_MARGIN_BATCHES * upstream.concurrency
+            )
             return cost(upstream) + margin
 
-        is_told = any(item.knows_others(now) for item in candidates)
+        has_shared_loads = any(item.knows_others(now) for item in candidates)
         compared = candidates
-        if is_told:
-            compared = _sample(candidates, ticket.data_center)
+        if has_shared_loads:
+            compared = _sample(candidates, call.data_center)
         best = min(compared, key=far_cost)
         for upstream in candidates:
-            if upstream.incarnation == ticket.last_upstream:
+            if upstream.incarnation == call.last_upstream:
                 room = max(upstream.concurrency, cost(best))
-                margin = STAY_BATCHES * upstream.concurrency
+                margin = AFFINITY_MARGIN_BATCHES * upstream.concurrency
                 if cost(upstream) <= room + margin:
                     return upstream
         return best
 
 
 def _sample(candidates, data_center: str) -> list:
-    """Return some candidates of this data centre, and some of all."""
+    """Return a sample of this data centre's and one of all candidates."""
     near = [item for item in candidates if item.data_center == data_center]
-    return [*near[:CHOICES], *candidates[:CHOICES]]
+    return [*near[:SAMPLE_SIZE], *candidates[:SAMPLE_SIZE]]
--- a/postspring/scheduling/tests/test_shared_load.py
+++ b/postspring/scheduling/tests/test_shared_load.py
@@ -1,4 +1,4 @@
-"""Placement under the load that it is for: many VMs before full engines."""
+"""Placement for many VMs in front of nearly full engines."""
 
 import functools
 import unittest
@@ -6,8 +6,8 @@
 from postspring.measuring import burst as burst_module
 
 SEEDS = (1, 2)
-# Without the others' loads known.
-ALONE = None
+# VMs don't exchange their loads.
+NO_EXCHANGE = None
 
 
 @functools.cache
@@ -21,29 +21,29 @@
 
 
 class SharedLoadTest(unittest.TestCase):
-    """In virtual time, from fixed seeds."""
+    """Policies in a burst of programs, in virtual time with fixed seeds."""
 
-    def test_a_burst_is_ridden_out(self):
+    def test_programs_stay_on_time_in_a_burst(self):
         self.assertGreater(play("shared_affinity"), 0.95)
 
-    def test_without_the_others_loads_it_is_not(self):
+    def test_policies_without_exchanged_loads_are_worse(self):
         known = play("shared_affinity")
         for policy in ("paced_affinity", "near_affinity", "least_load"):
-            self.assertLess(play(policy, ALONE), known - 0.05, policy)
+            self.assertLess(play(policy, NO_EXCHANGE), known - 0.05, policy)
 
-    def test_memory_counts_for_more_than_evenness(self):
-        self.assertLess(play("random", ALONE), 0.5)
+    def test_random_placement_is_mostly_late(self):
+        self.assertLess(play("random", NO_EXCHANGE), 0.5)
 
-    def test_more_work_than_engines_can_do(self):
-        # Where it is placed wins nothing there, and must lose nothing.
+    def test_overload_is_no_worse(self):
+        # No placement helps against overload, but it must do no harm.
         known = play("shared_affinity", burst=2.3)
-        alone = play("paced_affinity", ALONE, burst=2.3)
+        alone = play("paced_affinity", NO_EXCHANGE, burst=2.3)
         self.assertGreater(known, alone - 0.05)
 
     def test_few_vms_are_no_worse(self):
         known = play("shared_affinity", vms=11)
-        alone = play("paced_affinity", ALONE, vms=11)
+        alone = play("paced_affinity", NO_EXCHANGE, vms=11)
         self.assertGreater(known, alone - 0.03)
 
-    def test_the_size_does_not_matter(self):
+    def test_hundreds_of_vms(self):
         self.assertGreater(play("shared_affinity", vms=300), 0.9)
--- a/postspring/scheduling/urgency.py
+++ b/postspring/scheduling/urgency.py
@@ -1,4 +1,4 @@
-"""Urgency: which calls upstreams admit first, and preempt for others."""
+"""Urgency: the priority of calls at upstreams, for queues and preemption."""
 
 import abc
 
@@ -6,38 +6,38 @@
 
 __all__ = ["ByRank", "Unranked", "Urgency", "urgency_by_name"]
 
-# Upstreams know ten, 0 first.
-LAST_URGENCY = 9
+# Upstreams have ten levels; 0 comes first.
+MAX_URGENCY = 9
 
 urgency_by_name: registry.Registry = registry.Registry("urgency")
 
 
 class Urgency(abc.ABC):
-    """Tells upstreams which calls go first."""
+    """Maps the rank of a call to an urgency for upstreams."""
 
     @abc.abstractmethod
     def of(self, rank: int) -> int | None:
-        """Return a call's urgency, or None to say nothing.
+        """Return a call's urgency, or None to send none.
 
         Parameters
         ----------
         rank : int
-            Of its workspace, else of its route; 0 first.
+            Priority of the workspace or else of the route; 0 comes first.
         """
 
 
 @urgency_by_name.register("none")
 class Unranked(Urgency):
-    """First come, first served."""
+    """Upstreams serve calls in the order of arrival."""
 
     def of(self, rank: int) -> int | None:
-        """Say nothing."""
+        """Return no urgency."""
         return None
 
 
 @urgency_by_name.register("rank")
 class ByRank(Urgency):
-    """As operators rank workspaces and routes.
+    """By the rank that operators give workspaces and routes.
 
     Examples
     ========
@@ -47,5 +47,5 @@
     """
 
     def of(self, rank: int) -> int | None:
-        """Return the rank, as far as upstreams know so many."""
-        return min(rank, LAST_URGENCY)
+        """Return the rank, capped at the last level of upstreams."""
+        return min(rank, MAX_URGENCY)
