--- a/postspring/quotas/__init__.py
+++ b/postspring/quotas/__init__.py
@@ -1,4 +1,4 @@
-"""Quotas: workspaces' limits, dealt out by a VM of each data centre."""
+"""Quotas: limits of workspaces, allocated by a VM of each data centre."""
 
 from postspring.quotas.dealer import Deal
 from postspring.quotas.dealer import Dealer
--- a/postspring/quotas/dealer.py
+++ b/postspring/quotas/dealer.py
@@ -1,10 +1,10 @@
-"""Deals out a data centre's part of workspaces' limits.
+"""Quota allocator: grants permits from a data centre's part of the limits.
 
-The parts of all data centres add up to the limit, so nothing has to be agreed
-on among them, and behind a cut each one goes on with its own.  Within a data
-centre one VM deals a workspace's part out, one permit a call.  Which VM that
-is follows from the list of VMs.  When it changes, the next one hears from
-whoever asks what that VM was granted before.
+The parts of all data centres add up to a workspace's limit, so data centres
+need no agreement, and each one keeps its part in a network partition.  Within
+a data centre, one VM allocates the part of a workspace, one permit for each
+call.  The list of VMs determines which VM that is.  When it changes, VMs that
+request permits report to the new allocator what they were granted before.
 """
 
 from collections.abc import Callable
@@ -18,33 +18,36 @@
 
 __all__ = ["Deal", "DealState", "Dealer", "Use"]
 
-# A VM that has just started is not on all VMs' lists yet, which they read
-# every 5 s: until then whoever dealt before goes on, or both would.
+# For this long after a VM joined the list of VMs, it grants permits only if no
+# allocator is ready.  VMs read the list every 5 s: until all of them have,
+# some still use its predecessor, and both VMs would grant permits.
 SETTLE_SECONDS = 7.0
-# One that stood still for longer than this was given up by others, and is not
-# asked by them for about as long as SUSPENDED_SECONDS; seconds.
+# A process that was paused for longer than this did not answer other VMs.
+# They ask other allocators for about as long as SUSPENDED_SECONDS.
 PAUSE_SECONDS = 0.4
 SUSPENDED_SECONDS = 1.5
 TICK_SECONDS = 0.2
-# So long a dealer that follows another one grants no more than the limit's
-# rate: VMs that were granted much before ask, and tell, within this time.
+# A new allocator with a predecessor grants permits only at the limit's rate
+# for this long: VMs with many permits request another one in this time, and
+# report the earlier ones.
 LEARNING_SECONDS = 1.0
-# A VM that stands in for another and is not asked for this long learns anew,
-# in seconds.
+# A substitute allocator without requests for this long starts over as a new
+# one.
 IDLE_SECONDS = 1.0
 
 
 class Use(enum.Enum):
-    """What a request is for; its value goes over the wire."""
+    """The purpose of a request; its value is sent to other VMs."""
 
     BEGINS_PROGRAM = "begins_program"
     GOES_ON = "goes_on"
     PLAIN_CALL = "plain_call"
 
 
-# Part of a limit that is left to other uses.  A program that is stopped
-# halfway has used its requests in vain; turns are tried again for longer than
-# calls of tools, which end their program when they are refused twice.
+# Share of a limit that is reserved for other uses.  The requests of a program
+# that fails halfway are wasted, so running programs come before new ones.
+# Callers retry turns for longer than calls of tools, which end their program
+# when they are refused twice.
 RESERVED_SHARE_BY_USE = {
     Use.BEGINS_PROGRAM: 0.2,
     Use.GOES_ON: 0.1,
@@ -53,23 +56,24 @@
 
 
 class DealState(enum.Enum):
-    """What became of a request for a permit."""
+    """The result of a request for a permit."""
 
     GRANTED = "granted"
     REFUSED = "refused"
-    # Another VM deals now, as far as this one knows.
+    # This VM has started or was paused lately: another one may be the
+    # allocator.
     NOT_READY = "not_ready"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deal:
-    """The answer to a request for a permit.
+    """Answer to a request for a permit.
 
     Parameters
     ==========
 
     wait : float
-        Seconds until there may be one.
+        Seconds after which a permit may be available.
     """
 
     state: DealState
@@ -77,30 +81,45 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Account:
-    """What is known of one workspace's permits here."""
+class _WorkspaceUsage:
+    """Permits of one workspace, as far as this VM knows them.
+
+    Parameters
+    ==========
+
+    window : SlidingWindow
+        Permits of all allocators of this data centre.
+    since : float
+        When this VM became the allocator.
+    last_request_at : float
+        When a VM last requested a permit.
+    has_predecessor : bool
+        Another VM may have granted permits in the last span.
+    granted : int
+        Permits that this VM granted.
+    """
 
     window: window_module.SlidingWindow
     since: float
-    asked_at: float
+    last_request_at: float
     has_predecessor: bool
     granted: int = 0
 
 
 class Dealer:
-    """What this VM deals out; no clock of its own, no network.
+    """Grants the permits that this VM allocates, without I/O or a clock.
 
     Parameters
     ==========
 
     parts : int
-        Data centres that there are.
+        Number of data centres.
     span : float
-        Seconds over which requests are counted.
+        Seconds in which the limit bounds the number of requests.
     now : callable
         Monotonic time in seconds.
     listed_seconds : callable
-        Returns for how long this VM has been on the list of VMs.
+        Returns the seconds for which this VM has been on the list of VMs.
 
     Examples
     ========
@@ -125,14 +144,14 @@
         self._span = span
         self._now = now
         self._listed_seconds = listed_seconds
-        self._account_by_name: dict[str, _Account] = {}
+        self._usage_by_name: dict[str, _WorkspaceUsage] = {}
         self._started_at = now()
         self._ticked_at = now()
         self._suspended_until = 0.0
 
     def tick(self) -> None:
-        """Show that this VM runs; to be called every TICK_SECONDS."""
-        self._notice_pause()
+        """Detect pauses of the process; call it every TICK_SECONDS."""
+        self._detect_pause()
         self._ticked_at = self._now()
 
     def ask(
@@ -143,74 +162,77 @@
         insists: bool = False,
         ages: Sequence[float] = (),
     ) -> Deal:
-        """Take a permit for one request.
+        """Request a permit for one call.
 
         Parameters
         ----------
         is_first : bool
-            No other VM comes before this one, as far as it knows.
+            This VM is the workspace's first allocator by its list of VMs.
         insists : bool
-            No VM that may deal is ready: who asks takes any.
+            No allocator is ready: this one decides all the same.
         ages : sequence of float
-            Seconds since who asks was granted others by other dealers of
-            this data centre.
+            Ages in seconds of permits that other allocators of this data
+            centre granted to the requesting VM.
         """
-        self._notice_pause()
+        self._detect_pause()
         now = self._now()
         is_ready = self._is_ready(now)
         if not insists and not is_ready:
             return Deal(DealState.NOT_READY)
         if workspace.limit is None:
             return Deal(DealState.GRANTED)
-        account = self._account(workspace.name, is_first, now)
-        account.window.add(now - max(0.0, age) for age in ages)
-        most = self._part(workspace.limit)
+        usage = self._usage_of(workspace.name, is_first, now)
+        usage.window.add(now - max(0.0, age) for age in ages)
+        max_permits = self._max_permits(workspace.limit)
         if not is_ready:
-            most = self._after_start(most, now)
-        most = max(1, math.floor(most * (1.0 - RESERVED_SHARE_BY_USE[use])))
-        if account.window.count(now) + 1 > most:
-            wait = account.window.seconds_until(most, now)
+            max_permits = self._max_after_start(max_permits, now)
+        max_permits = max(
+            1, math.floor(max_permits * (1.0 - RESERVED_SHARE_BY_USE[use]))
+        )
+        if usage.window.count(now) + 1 > max_permits:
+            wait = usage.window.seconds_until(max_permits, now)
             return Deal(DealState.REFUSED, wait)
-        if self._is_learning(account, workspace.limit, now):
+        if self._is_learning(usage, workspace.limit, now):
             return Deal(DealState.REFUSED, self._parts / workspace.limit.rate)
-        account.window.add([now])
-        account.granted += 1
+        usage.window.add([now])
+        usage.granted += 1
         return Deal(DealState.GRANTED)
 
     def take_back(self, workspace: str) -> None:
-        """Take a permit back by which nothing ran, and nothing will."""
-        account = self._account_by_name.get(workspace)
-        if account is not None:
-            account.window.remove_newest()
+        """Release a permit whose call did not run and never will."""
+        usage = self._usage_by_name.get(workspace)
+        if usage is not None:
+            usage.window.remove_newest()
 
     # -- own ------------------------------------------------------------------
 
-    def _part(self, limit: workspaces.RateLimit) -> int:
-        """Return the most requests in a span, of this data centre's part."""
-        whole = limit.rate * self._span + limit.burst
-        return max(1, math.floor(whole / self._parts))
+    def _max_permits(self, limit: workspaces.RateLimit) -> int:
+        """Return this data centre's maximum number of requests in a span."""
+        total = limit.rate * self._span + limit.burst
+        return max(1, math.floor(total / self._parts))
 
-    def _after_start(self, most: int, now: float) -> int:
-        """Return the most that a VM grants that has started lately.
+    def _max_after_start(self, max_permits: int, now: float) -> int:
+        """Return the maximum for a VM that started lately.
 
-        All VMs may have lost power, and what they granted before is lost.
+        It grows with the uptime: after a power loss of all VMs, no VM knows
+        the permits that were granted before.
         """
         uptime = now - self._started_at
-        return max(1, math.floor(most * min(1.0, uptime / self._span)))
+        return max(1, math.floor(max_permits * min(1.0, uptime / self._span)))
 
-    def _is_learning(self, account, limit, now: float) -> bool:
-        age = now - account.since
+    def _is_learning(self, usage, limit, now: float) -> bool:
+        age = now - usage.since
         allowed = 1.0 + age * limit.rate / self._parts
-        is_new = age < LEARNING_SECONDS and account.granted + 1 > allowed
-        return is_new and account.has_predecessor
+        is_new = age < LEARNING_SECONDS and usage.granted + 1 > allowed
+        return is_new and usage.has_predecessor
 
     def _is_ready(self, now: float) -> bool:
         if now < self._suspended_until:
             return False
         return self._listed_seconds() >= SETTLE_SECONDS
 
-    def _has_dealt_long(self, now: float) -> bool:
-        """Whether nobody dealt for this VM in the last span."""
+    def _was_sole_allocator(self, now: float) -> bool:
+        """Whether no other VM replaced this one in the last span."""
         listed = self._listed_seconds()
         ready = min(
             listed - SETTLE_SECONDS,
@@ -218,26 +240,28 @@
         )
         return ready > self._span
 
-    def _account(self, name: str, is_first: bool, now: float) -> _Account:
-        account = self._account_by_name.get(name)
-        is_known = account is not None and (
-            is_first or now - account.asked_at <= IDLE_SECONDS
+    def _usage_of(
+        self, name: str, is_first: bool, now: float
+    ) -> _WorkspaceUsage:
+        usage = self._usage_by_name.get(name)
+        is_current = usage is not None and (
+            is_first or now - usage.last_request_at <= IDLE_SECONDS
         )
-        if not is_known:
+        if not is_current:
             window = window_module.SlidingWindow(self._span)
-            if account is not None:
-                window = account.window
-            has_predecessor = not (is_first and self._has_dealt_long(now))
-            account = _Account(window, now, now, has_predecessor)
-            self._account_by_name[name] = account
-        account.asked_at = now
-        return account
-
-    def _notice_pause(self) -> None:
-        """Stand back after a pause: others have dealt meanwhile."""
+            if usage is not None:
+                window = usage.window
+            has_predecessor = not (is_first and self._was_sole_allocator(now))
+            usage = _WorkspaceUsage(window, now, now, has_predecessor)
+            self._usage_by_name[name] = usage
+        usage.last_request_at = now
+        return usage
+
+    def _detect_pause(self) -> None:
+        """Suspend this allocator after a pause, as others replaced it."""
         now = self._now()
         if now - self._ticked_at <= TICK_SECONDS + PAUSE_SECONDS:
             return
         self._ticked_at = now
         self._suspended_until = now + SUSPENDED_SECONDS
-        self._account_by_name.clear()
+        self._usage_by_name.clear()
--- a/postspring/quotas/granted.py
+++ b/postspring/quotas/granted.py
@@ -1,4 +1,4 @@
-"""What this VM was granted lately, for dealers that don't know it yet."""
+"""Permits that this VM got lately, to report to other allocators."""
 
 import collections
 
@@ -6,13 +6,16 @@
 
 
 class GrantedPermits:
-    """Permits by workspace and data centre, and who granted them.
+    """Permits by workspace and data centre, with the VMs that granted them.
+
+    When another VM becomes the allocator, it learns from these reports what
+    its predecessor granted.
 
     Parameters
     ==========
 
     span : float
-        Seconds after which a permit counts no more.
+        Seconds for which a permit counts.
 
     Examples
     ========
@@ -33,38 +36,40 @@
         self._by_part: dict[
             tuple[str, str], collections.deque[tuple[float, str]]
         ] = {}
-        self._told_by_part: dict[tuple[str, str], str] = {}
+        self._reported_by_part: dict[tuple[str, str], str] = {}
 
-    def add(self, workspace: str, place: str, dealer: str, now: float) -> None:
-        """Take note of a permit; ``dealer`` is the VM's incarnation."""
-        part = self._by_part.setdefault(
-            (workspace, place), collections.deque()
+    def add(
+        self, workspace: str, data_center: str, dealer: str, now: float
+    ) -> None:
+        """Add a permit; ``dealer`` is the incarnation of its allocator."""
+        permits = self._by_part.setdefault(
+            (workspace, data_center), collections.deque()
         )
-        part.append((now, dealer))
-        while part[0][0] <= now - self._span:
-            part.popleft()
+        permits.append((now, dealer))
+        while permits[0][0] <= now - self._span:
+            permits.popleft()
 
     def ages(
-        self, workspace: str, place: str, dealer: str, now: float
+        self, workspace: str, data_center: str, dealer: str, now: float
     ) -> list[float]:
-        """Return how old the permits are that a dealer does not know of."""
-        key = (workspace, place)
-        if self._told_by_part.get(key) == dealer:
+        """Return the ages of permits not yet reported to an allocator."""
+        key = (workspace, data_center)
+        if self._reported_by_part.get(key) == dealer:
             return []
         return [
-            now - at
-            for at, granted_by in self._by_part.get(key, ())
-            if granted_by != dealer and at > now - self._span
+            now - granted_at
+            for granted_at, granted_by in self._by_part.get(key, ())
+            if granted_by != dealer and granted_at > now - self._span
         ]
 
-    def remove(self, workspace: str, place: str, dealer: str) -> None:
-        """Forget one permit of a dealer: nothing ran by it."""
-        part = self._by_part.get((workspace, place), ())
-        for entry in reversed(part):
+    def remove(self, workspace: str, data_center: str, dealer: str) -> None:
+        """Remove one permit of an allocator, as its request did not run."""
+        permits = self._by_part.get((workspace, data_center), ())
+        for entry in reversed(permits):
             if entry[1] == dealer:
-                part.remove(entry)
+                permits.remove(entry)
                 return
 
-    def note_told(self, workspace: str, place: str, dealer: str) -> None:
-        """Take note that a dealer has heard of them."""
-        self._told_by_part[(workspace, place)] = dealer
+    def note_told(self, workspace: str, data_center: str, dealer: str) -> None:
+        """Record that the permits were reported to an allocator."""
+        self._reported_by_part[(workspace, data_center)] = dealer
--- a/postspring/quotas/order.py
+++ b/postspring/quotas/order.py
@@ -1,4 +1,4 @@
-"""Which VMs of a data centre deal a workspace's limit out."""
+"""Selects the quota allocators of a workspace among the VMs."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -8,8 +8,8 @@
 
 __all__ = ["dealers_of"]
 
-# The first deals; the others stand in for it, in this order.
-DEALERS = 3
+# The first allocates permits; the others replace it, in this order.
+MAX_ALLOCATORS = 3
 
 
 class _Vm(Protocol):
@@ -20,16 +20,19 @@
 Vm = TypeVar("Vm", bound=_Vm)
 
 
-def dealers_of(workspace: str, vms: Iterable[Vm], place: str) -> list[Vm]:
-    """Return the VMs that may deal, first to last; all VMs find the same.
+def dealers_of(
+    workspace: str, vms: Iterable[Vm], data_center: str
+) -> list[Vm]:
+    """Return a workspace's quota allocators in a data centre, first to last.
 
-    Rendezvous hashing: a VM that comes or goes changes the first of few
+    All VMs compute the same result from the same list.  By rendezvous
+    hashing, a VM that joins or leaves changes the first allocator of few
     workspaces.
     """
-    here = [vm for vm in vms if vm.data_center == place]
-    here.sort(
+    candidates = [vm for vm in vms if vm.data_center == data_center]
+    candidates.sort(
         key=lambda vm: xxhash.xxh3_64_intdigest(
             f"{workspace}\n{vm.name}".encode()
         )
     )
-    return here[:DEALERS]
+    return candidates[:MAX_ALLOCATORS]
--- a/postspring/quotas/tests/test_dealer.py
+++ b/postspring/quotas/tests/test_dealer.py
@@ -1,7 +1,7 @@
-"""Permits in any order of calls, pauses, restarts and changes of the limit.
+"""Quota allocator under any order of calls, pauses and restarts.
 
-Pattern: a workspace that asks for more than its limit, while the VM that
-deals the limit out is replaced, stands still or hears of another limit.
+A workspace requests more than its limit while its quota allocator is replaced
+or paused, or the limit changes.
 """
 
 import unittest
@@ -16,10 +16,10 @@
 GRANTED = quotas.DealState.GRANTED
 REFUSED = quotas.DealState.REFUSED
 NOT_READY = quotas.DealState.NOT_READY
-BEGINS = quotas.Use.BEGINS_PROGRAM
-TOOL = quotas.Use.PLAIN_CALL
-# Seconds over which requests are counted.
-SPAN = 5.0
+BEGIN_PROGRAM = quotas.Use.BEGINS_PROGRAM
+TOOL_CALL = quotas.Use.PLAIN_CALL
+# Window of the limit.
+SPAN_SECONDS = 5.0
 
 
 def workspace(rate=6.0, burst=6.0):
@@ -28,8 +28,8 @@
     return workspaces.Workspace(workspaces.WorkspaceName("acme"), None, limit)
 
 
-class World:
-    """One data centre's dealer and its clock."""
+class AllocatorScenario:
+    """The quota allocator of one data centre, with a simulated clock."""
 
     def __init__(self, parts=1):
         self.now = 100.0
@@ -38,44 +38,46 @@
         self.restart()
 
     def restart(self):
-        """Let another VM deal, which hears of permits from those that ask."""
+        """Replace the allocator; the next request reports earlier permits."""
         self.dealer = quotas.Dealer(
-            self.parts, SPAN, lambda: self.now, lambda: 60.0
+            self.parts, SPAN_SECONDS, lambda: self.now, lambda: 60.0
         )
-        self.is_new = True
+        self.has_to_report = True
 
     def wait(self, seconds):
-        """Let time go by; the VM runs."""
+        """Advance the clock while the allocator ticks."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + dealer_module.TICK_SECONDS)
             self.dealer.tick()
 
     def pause(self, seconds):
-        """Let time go by; the VM stands still, and another one deals."""
+        """Advance the clock without ticks, as if the process was paused."""
         self.now += seconds
-        self.is_new = True
+        self.has_to_report = True
 
-    def ask(self, use=TOOL, limited=None, **options):
-        """Ask for a permit."""
+    def ask(self, use=TOOL_CALL, limited_workspace=None, **options):
+        """Request a permit."""
         ages = []
-        if self.is_new:
+        if self.has_to_report:
             ages = [self.now - at for at in self.granted_at]
-            ages = [age for age in ages if age < SPAN]
+            ages = [age for age in ages if age < SPAN_SECONDS]
         options = {"is_first": True, "ages": ages} | options
-        deal = self.dealer.ask(limited or workspace(), use, **options)
-        self.is_new = deal.state is NOT_READY
+        deal = self.dealer.ask(
+            limited_workspace or workspace(), use, **options
+        )
+        self.has_to_report = deal.state is NOT_READY
         if deal.state is GRANTED:
             self.granted_at.append(self.now)
         return deal
 
     @property
-    def most(self):
-        """The most permits in any span."""
+    def max_in_any_span(self):
+        """Maximum number of permits in any span."""
         times = self.granted_at
         return max(
             (
-                sum(begin <= at < begin + SPAN for at in times)
+                sum(begin <= at < begin + SPAN_SECONDS for at in times)
                 for begin in times
             ),
             default=0,
@@ -98,110 +100,116 @@
 
 
 class AnyOrderTest(unittest.TestCase):
-    """What holds whatever happens."""
+    """Bounds that hold in any order of events."""
 
     @hypothesis.given(EVENTS, strategies.sampled_from([1, 3]))
     @hypothesis.settings(deadline=None, max_examples=150)
-    def test_no_span_has_more_than_the_part(self, events, parts):
-        world = World(parts)
+    def test_no_span_exceeds_the_part(self, events, parts):
+        scenario = AllocatorScenario(parts)
         for name, value in events:
             if name == "ask":
                 for _ in range(value):
-                    world.ask()
+                    scenario.ask()
             elif name == "restart":
-                world.restart()
+                scenario.restart()
             else:
-                getattr(world, name)(value)
-        self.assertLessEqual(world.most, (6.0 * SPAN + 6.0) / parts)
+                getattr(scenario, name)(value)
+        self.assertLessEqual(
+            scenario.max_in_any_span, (6.0 * SPAN_SECONDS + 6.0) / parts
+        )
 
     @hypothesis.given(strategies.lists(strategies.floats(0.1, 6.0)))
     @hypothesis.settings(deadline=None, max_examples=50)
-    def test_a_lower_limit_gives_nothing_to_one_that_has_used_it(self, rates):
-        world = World()
-        world.wait(SPAN + 1.0)
-        while world.ask().state is GRANTED:
+    def test_a_lower_limit_counts_earlier_permits(self, rates):
+        scenario = AllocatorScenario()
+        scenario.wait(SPAN_SECONDS + 1.0)
+        while scenario.ask().state is GRANTED:
             pass
         for rate in rates:
-            deal = world.ask(limited=workspace(rate, rate))
+            deal = scenario.ask(limited_workspace=workspace(rate, rate))
             self.assertIs(REFUSED, deal.state)
 
 
 class ProgramsTest(unittest.TestCase):
-    """Programs under way go before new ones when a limit binds."""
+    """Running programs come before new ones at the limit."""
 
-    def test_new_ones_leave_something(self):
-        world = World()
-        world.wait(SPAN + 1.0)
-        while world.ask(use=BEGINS).state is GRANTED:
+    def test_new_programs_leave_permits_to_running_ones(self):
+        scenario = AllocatorScenario()
+        scenario.wait(SPAN_SECONDS + 1.0)
+        while scenario.ask(use=BEGIN_PROGRAM).state is GRANTED:
             pass
-        self.assertIs(GRANTED, world.ask(quotas.Use.GOES_ON).state)
+        self.assertIs(GRANTED, scenario.ask(quotas.Use.GOES_ON).state)
 
-    def test_turns_leave_something_to_tools(self):
-        world = World()
-        world.wait(SPAN + 1.0)
-        while world.ask(quotas.Use.GOES_ON).state is GRANTED:
+    def test_turns_leave_permits_to_tools(self):
+        scenario = AllocatorScenario()
+        scenario.wait(SPAN_SECONDS + 1.0)
+        while scenario.ask(quotas.Use.GOES_ON).state is GRANTED:
             pass
-        self.assertIs(GRANTED, world.ask(TOOL).state)
+        self.assertIs(GRANTED, scenario.ask(TOOL_CALL).state)
 
-    def test_new_ones_are_let_in_by_the_smallest_limit(self):
-        world = World(parts=3)
+    def test_the_smallest_limit_admits_new_programs(self):
+        scenario = AllocatorScenario(parts=3)
         small = workspace(rate=1.0, burst=1.0)
-        world.wait(4.0)
-        self.assertIs(GRANTED, world.ask(BEGINS, small).state)
+        scenario.wait(4.0)
+        self.assertIs(GRANTED, scenario.ask(BEGIN_PROGRAM, small).state)
 
-    def test_they_are_told_when_to_come_back(self):
-        world = World()
-        world.wait(SPAN + 1.0)
-        while world.ask(use=BEGINS).state is GRANTED:
+    def test_retry_after_the_stated_wait_succeeds(self):
+        scenario = AllocatorScenario()
+        scenario.wait(SPAN_SECONDS + 1.0)
+        while scenario.ask(use=BEGIN_PROGRAM).state is GRANTED:
             pass
-        deal = world.ask(use=BEGINS)
-        world.wait(deal.wait + 0.01)
-        self.assertIs(GRANTED, world.ask(use=BEGINS).state)
+        deal = scenario.ask(use=BEGIN_PROGRAM)
+        scenario.wait(deal.wait + 0.01)
+        self.assertIs(GRANTED, scenario.ask(use=BEGIN_PROGRAM).state)
 
 
 class SuccessionTest(unittest.TestCase):
-    """Who deals when VMs come, go and stand still."""
-
-    def test_one_that_stood_still_stands_back(self):
-        world = World()
-        world.ask()
-        world.wait(2.0)
-        world.pause(3.0)
-        self.assertIs(NOT_READY, world.ask().state)
-        world.wait(dealer_module.SUSPENDED_SECONDS + 0.1)
-        self.assertIs(GRANTED, world.ask().state)
-
-    def test_one_that_has_just_come_deals_only_if_nobody_else_does(self):
-        world = World()
-        world.dealer = quotas.Dealer(1, SPAN, lambda: world.now, lambda: 3.0)
-        self.assertIs(NOT_READY, world.ask().state)
-        self.assertIs(GRANTED, world.ask(insists=True).state)
-
-    def test_one_that_follows_another_counts_what_that_one_granted(self):
-        world = World()
-        world.wait(SPAN + 1.0)
-        while world.ask().state is GRANTED:
+    """Changes of the allocator: VMs that join, leave or are paused."""
+
+    def test_not_ready_after_a_pause(self):
+        scenario = AllocatorScenario()
+        scenario.ask()
+        scenario.wait(2.0)
+        scenario.pause(3.0)
+        self.assertIs(NOT_READY, scenario.ask().state)
+        scenario.wait(dealer_module.SUSPENDED_SECONDS + 0.1)
+        self.assertIs(GRANTED, scenario.ask().state)
+
+    def test_a_new_vm_grants_only_if_no_allocator_is_ready(self):
+        scenario = AllocatorScenario()
+        scenario.dealer = quotas.Dealer(
+            1, SPAN_SECONDS, lambda: scenario.now, lambda: 3.0
+        )
+        self.assertIs(NOT_READY, scenario.ask().state)
+        self.assertIs(GRANTED, scenario.ask(insists=True).state)
+
+    def test_a_successor_counts_permits_of_its_predecessor(self):
+        scenario = AllocatorScenario()
+        scenario.wait(SPAN_SECONDS + 1.0)
+        while scenario.ask().state is GRANTED:
             pass
-        world.restart()
-        self.assertIs(REFUSED, world.ask().state)
-        world.wait(2.0)
-        self.assertIs(REFUSED, world.ask().state)
-
-    def test_after_a_loss_of_power_of_all_it_begins_with_little(self):
-        world = World()
-        world.dealer = quotas.Dealer(1, SPAN, lambda: world.now, lambda: 0.0)
+        scenario.restart()
+        self.assertIs(REFUSED, scenario.ask().state)
+        scenario.wait(2.0)
+        self.assertIs(REFUSED, scenario.ask().state)
+
+    def test_few_permits_after_a_power_loss_of_all_vms(self):
+        scenario = AllocatorScenario()
+        scenario.dealer = quotas.Dealer(
+            1, SPAN_SECONDS, lambda: scenario.now, lambda: 0.0
+        )
         for _ in range(100):
-            world.ask(insists=True, ages=[])
-        self.assertLessEqual(len(world.granted_at), 2)
+            scenario.ask(insists=True, ages=[])
+        self.assertLessEqual(len(scenario.granted_at), 2)
 
-    def test_no_limit_needs_no_permit(self):
-        world = World()
-        free = workspaces.Workspace(workspaces.WorkspaceName("free"))
-        self.assertIs(GRANTED, world.ask(limited=free).state)
+    def test_a_workspace_without_limit_is_always_granted(self):
+        scenario = AllocatorScenario()
+        unlimited = workspaces.Workspace(workspaces.WorkspaceName("free"))
+        self.assertIs(GRANTED, scenario.ask(limited_workspace=unlimited).state)
 
 
 class OrderTest(unittest.TestCase):
-    """Who comes first."""
+    """The order of a workspace's allocators."""
 
     def vms(self, count):
         """Return some VMs of one data centre."""
@@ -213,13 +221,13 @@
 
         return [Vm(f"vm{number}") for number in range(count)]
 
-    def test_all_vms_find_the_same(self):
+    def test_the_order_of_the_list_does_not_matter(self):
         vms = self.vms(20)
-        one = quotas.dealers_of("acme", vms, "z")
-        other = quotas.dealers_of("acme", reversed(vms), "z")
-        self.assertEqual(one, other)
+        first_order = quotas.dealers_of("acme", vms, "z")
+        second_order = quotas.dealers_of("acme", reversed(vms), "z")
+        self.assertEqual(first_order, second_order)
 
-    def test_one_more_vm_changes_few(self):
+    def test_a_new_vm_becomes_first_for_few_workspaces(self):
         vms = self.vms(21)
         names = [f"workspace-{number}" for number in range(200)]
         moved = sum(
--- a/postspring/quotas/tests/test_ways.py
+++ b/postspring/quotas/tests/test_ways.py
@@ -1,7 +1,7 @@
-"""Which way keeps limits, and strands little of them.
+"""Compares strategies that enforce a workspace's limit on many VMs.
 
-Pattern: 66 VMs that each see a few calls of a workspace, in no order; small
-workspaces in lumps, a large one, and one that sends many times its usual.
+Calls of a workspace arrive in bursts at random ones of 66 VMs.  The limits
+are small and large; callers stay below them or send several times as much.
 """
 
 import unittest
@@ -17,39 +17,39 @@
 SEEDS = range(1, 4)
 
 
-def outcomes(way_type, load):
-    """Return what a way makes of a load, for some seeds."""
-    return [ways.play(way_type, load, seed=seed) for seed in SEEDS]
+def outcomes(strategy_type, load):
+    """Return the outcomes of a strategy under a load, one for each seed."""
+    return [ways.play(strategy_type, load, seed=seed) for seed in SEEDS]
 
 
-class DealtPermitsTest(unittest.TestCase):
-    """The way that is taken."""
+class AllocatedPermitsTest(unittest.TestCase):
+    """The strategy in use."""
 
-    def test_it_never_goes_beyond_the_limit(self):
+    def test_never_exceeds_the_limit(self):
         for name, load in LOADS.items():
-            for outcome in outcomes(ways.DealtPermits, load):
+            for outcome in outcomes(ways.AllocatedPermits, load):
                 with self.subTest(name):
                     self.assertLessEqual(outcome.excess, 1.0)
 
-    def test_it_strands_next_to_nothing(self):
+    def test_refuses_few_calls_below_the_limit(self):
         for name, load in LOADS.items():
-            for outcome in outcomes(ways.DealtPermits, load):
+            for outcome in outcomes(ways.AllocatedPermits, load):
                 with self.subTest(name):
                     self.assertLessEqual(outcome.stranded, 0.02)
 
-    def test_a_call_within_its_limit_costs_one_question(self):
+    def test_about_one_message_per_call_below_the_limit(self):
         for name in ("small", "large"):
-            for outcome in outcomes(ways.DealtPermits, LOADS[name]):
+            for outcome in outcomes(ways.AllocatedPermits, LOADS[name]):
                 self.assertLessEqual(outcome.messages, 1.2)
 
 
-class OtherWaysTest(unittest.TestCase):
-    """Why not these."""
+class OtherStrategiesTest(unittest.TestCase):
+    """Weaknesses of the strategies not in use."""
 
-    def test_equal_shares_strand_small_limits(self):
+    def test_equal_shares_refuse_calls_below_small_limits(self):
         for outcome in outcomes(ways.EqualShares, LOADS["small"]):
             self.assertGreater(outcome.stranded, 0.3)
 
-    def test_told_counts_go_beyond_a_limit_that_is_hot(self):
-        for outcome in outcomes(ways.ToldCounts, LOADS["large, hot"]):
+    def test_exchanged_counts_exceed_a_hot_limit(self):
+        for outcome in outcomes(ways.ExchangedCounts, LOADS["large, hot"]):
             self.assertGreater(outcome.excess, 1.1)
--- a/postspring/quotas/tests/ways.py
+++ b/postspring/quotas/tests/ways.py
@@ -1,4 +1,4 @@
-"""Three ways to keep a limit over many VMs, under the same calls."""
+"""Three strategies to enforce a limit on many VMs, with the same calls."""
 
 import abc
 import collections
@@ -8,15 +8,22 @@
 from postspring import quotas
 from postspring import workspaces
 
-__all__ = ["WAYS", "DealtPermits", "EqualShares", "Load", "ToldCounts", "play"]
+__all__ = [
+    "STRATEGIES",
+    "AllocatedPermits",
+    "EqualShares",
+    "ExchangedCounts",
+    "Load",
+    "play",
+]
 
-SPAN = 5.0
-SECONDS = 30.0
-PLACES = 3
-START = 100.0
-TICK = 0.2
-# The loads' exchange tells counts this late, in seconds.
-TOLD_AFTER = 0.4
+SPAN_SECONDS = 5.0
+DURATION_SECONDS = 30.0
+DATA_CENTERS = 3
+START_TIME = 100.0
+TICK_SECONDS = 0.2
+# Delay of counts in the exchange of loads among VMs.
+EXCHANGE_DELAY_SECONDS = 0.4
 
 
 @dataclasses.dataclass(frozen=True)
@@ -27,16 +34,16 @@
     ==========
 
     rate : float
-        Limit, requests a second; as many on top.
+        Rate of the limit in requests per second, and its burst in requests.
     share : float
-        Of the limit's rate that callers send in the mean.
-    lump : int
-        Calls that come together, at one VM.
+        Average rate of calls, as a share of the limit's rate.
+    burst_size : int
+        Calls that arrive at the same time at one VM.
     """
 
     rate: float
     share: float
-    lump: int = 3
+    burst_size: int = 3
 
     @property
     def limit(self):
@@ -44,15 +51,15 @@
         return workspaces.RateLimit(self.rate, self.rate)
 
     @property
-    def most(self):
-        """Most requests in a span."""
-        return self.rate * (SPAN + 1.0)
+    def max_permits(self):
+        """Maximum number of requests in a span."""
+        return self.rate * (SPAN_SECONDS + 1.0)
 
 
-class Way(abc.ABC):
-    """Decides on calls at many VMs."""
+class LimitStrategy(abc.ABC):
+    """Decides at each of many VMs whether a call may run."""
 
-    # Messages that a decision costs in the mean.
+    # Messages for all decisions so far.
     messages = 0
 
     def __init__(self, load, vms):
@@ -64,62 +71,71 @@
         """Return whether a call may run."""
 
 
-class EqualShares(Way):
-    """Each VM has the same part of the limit; nothing is told."""
+class EqualShares(LimitStrategy):
+    """Each VM has the same part of the limit, without messages."""
 
     def __init__(self, load, vms):
         super().__init__(load, vms)
-        self._windows = [quotas.SlidingWindow(SPAN) for _ in range(vms)]
+        self._windows = [
+            quotas.SlidingWindow(SPAN_SECONDS) for _ in range(vms)
+        ]
 
     def allows(self, vm, now):
-        """Look at this VM's own calls."""
+        """Compare the VM's own calls with its part."""
         window = self._windows[vm]
-        if window.count(now) + 1 > max(1, self.load.most // self.vms):
+        if window.count(now) + 1 > max(1, self.load.max_permits // self.vms):
             return False
         window.add([now])
         return True
 
 
-class ToldCounts(Way):
-    """Each VM knows its own calls, and those of the others a little later."""
+class ExchangedCounts(LimitStrategy):
+    """Each VM counts its own calls, and those of others with a delay."""
 
     def __init__(self, load, vms):
         super().__init__(load, vms)
-        self._own = [quotas.SlidingWindow(SPAN) for _ in range(vms)]
-        self._told = quotas.SlidingWindow(SPAN)
-        self._late = collections.deque()
+        self._own = [quotas.SlidingWindow(SPAN_SECONDS) for _ in range(vms)]
+        self._reported = quotas.SlidingWindow(SPAN_SECONDS)
+        self._unreported = collections.deque()
 
     def allows(self, vm, now):
-        """Look at what was told until now."""
-        while self._late and self._late[0] <= now - TOLD_AFTER:
-            self._told.add([self._late.popleft()])
-        known = self._told.count(now)
-        own = sum(at > now - TOLD_AFTER for at in self._own[vm]._times)
-        if known + own + 1 > self.load.most:
+        """Compare the counts known so far with the whole limit."""
+        while (
+            self._unreported
+            and self._unreported[0] <= now - EXCHANGE_DELAY_SECONDS
+        ):
+            self._reported.add([self._unreported.popleft()])
+        known = self._reported.count(now)
+        own = sum(
+            at > now - EXCHANGE_DELAY_SECONDS for at in self._own[vm]._times
+        )
+        if known + own + 1 > self.load.max_permits:
             return False
         self._own[vm].add([now])
-        self._late.append(now)
+        self._unreported.append(now)
         return True
 
 
-class DealtPermits(Way):
-    """A dealer of each data centre; the others if that one has none."""
+class AllocatedPermits(LimitStrategy):
+    """One allocator for each data centre, asked in turn for a permit."""
 
     def __init__(self, load, vms):
         super().__init__(load, vms)
-        self._now = START
+        self._now = START_TIME
         self._dealers = [
-            quotas.Dealer(PLACES, SPAN, lambda: self._now, lambda: 60.0)
-            for _ in range(PLACES)
+            quotas.Dealer(
+                DATA_CENTERS, SPAN_SECONDS, lambda: self._now, lambda: 60.0
+            )
+            for _ in range(DATA_CENTERS)
         ]
         name = workspaces.WorkspaceName("w")
         self._workspace = workspaces.Workspace(name, None, load.limit)
 
     def allows(self, vm, now):
-        """Ask the own data centre's dealer first."""
+        """Ask the allocator of the VM's own data centre first."""
         self._run_until(now)
-        for step in range(PLACES):
-            dealer = self._dealers[(vm + step) % PLACES]
+        for offset in range(DATA_CENTERS):
+            dealer = self._dealers[(vm + offset) % DATA_CENTERS]
             self.messages += 1
             deal = dealer.ask(
                 self._workspace, quotas.Use.PLAIN_CALL, is_first=True
@@ -130,25 +146,27 @@
 
     def _run_until(self, now):
         while self._now < now:
-            self._now = min(now, self._now + TICK)
+            self._now = min(now, self._now + TICK_SECONDS)
             for dealer in self._dealers:
                 dealer.tick()
 
 
-WAYS = (EqualShares, ToldCounts, DealtPermits)
+STRATEGIES = (EqualShares, ExchangedCounts, AllocatedPermits)
 
 
 @dataclasses.dataclass
 class Outcome:
-    """What came of a way.
+    """The result of a strategy.
 
     Parameters
     ==========
 
     stranded : float
-        Calls that were refused below the limit, of all that were below it.
+        Share of refused calls among those that fitted the limit.
     excess : float
-        Calls in the fullest span, of the most that are allowed.
+        Calls in the fullest span, as a multiple of the maximum.
+    messages : float
+        Messages for each call.
     """
 
     stranded: float
@@ -156,26 +174,28 @@
     messages: float
 
 
-def play(way_type, load, vms=66, seed=1):
-    """Return what a way makes of a load."""
-    draw = random.Random(seed)
-    way = way_type(load, vms)
-    granted = quotas.SlidingWindow(SPAN)
-    now, calls, owed, stranded, fullest = START, 0, 0, 0, 0
-    lumps_a_second = load.rate * load.share / load.lump
-    end = START + SECONDS
+def play(strategy_type, load, vms=66, seed=1):
+    """Return the outcome of a strategy under a load."""
+    rng = random.Random(seed)
+    strategy = strategy_type(load, vms)
+    granted = quotas.SlidingWindow(SPAN_SECONDS)
+    now, calls, grantable, stranded, fullest = START_TIME, 0, 0, 0, 0
+    bursts_per_second = load.rate * load.share / load.burst_size
+    end = START_TIME + DURATION_SECONDS
     while now < end:
-        now += draw.expovariate(lumps_a_second)
-        vm = draw.randrange(vms)
-        for _ in range(load.lump):
+        now += rng.expovariate(bursts_per_second)
+        vm = rng.randrange(vms)
+        for _ in range(load.burst_size):
             calls += 1
-            below = granted.count(now) + 1 <= load.most
-            owed += below
-            if way.allows(vm, now):
+            fits = granted.count(now) + 1 <= load.max_permits
+            grantable += fits
+            if strategy.allows(vm, now):
                 granted.add([now])
             else:
-                stranded += below
+                stranded += fits
             fullest = max(fullest, granted.count(now))
     return Outcome(
-        stranded / max(1, owed), fullest / load.most, way.messages / calls
+        stranded / max(1, grantable),
+        fullest / load.max_permits,
+        strategy.messages / calls,
     )
--- a/postspring/quotas/window.py
+++ b/postspring/quotas/window.py
@@ -1,4 +1,4 @@
-"""A sliding window over what was granted."""
+"""A sliding window over granted permits."""
 
 from collections.abc import Iterable
 import heapq
@@ -7,15 +7,16 @@
 
 
 class SlidingWindow:
-    """Counts permits of the last seconds; time is an argument.
+    """Counts the permits of the last seconds; methods take the time.
 
-    Permits of other dealers are added as they become known, in any order.
+    Permits that other VMs granted are added when they are reported, in any
+    order.
 
     Parameters
     ==========
 
     span : float
-        Seconds after which a permit counts no more.
+        Seconds for which a permit counts.
 
     Examples
     ========
@@ -33,29 +34,32 @@
         self._times: list[float] = []
 
     def add(self, times: Iterable[float]) -> None:
-        """Count permits that were granted at some moments."""
+        """Add permits with the times at which they were granted."""
         for at in times:
             heapq.heappush(self._times, at)
 
     def remove_newest(self) -> None:
-        """Take the newest permit out again: nothing ran by it."""
+        """Remove the newest permit, as its request did not run."""
         if self._times:
             self._times.remove(max(self._times))
             heapq.heapify(self._times)
 
     def count(self, now: float) -> int:
-        """Return how many were granted in the span before now."""
+        """Return the number of permits granted in the span before ``now``."""
         while self._times and self._times[0] <= now - self.span:
             heapq.heappop(self._times)
         return len(self._times)
 
     def seconds_until(self, below: float, now: float) -> float:
-        """Return when there are fewer than so many, if none is added."""
-        leaving = self.count(now) - below
-        if leaving < 0:
+        """Return the seconds until fewer than ``below`` permits count.
+
+        It holds if no permit is added meanwhile.
+        """
+        excess = self.count(now) - below
+        if excess < 0:
             return 0.0
-        number = int(leaving) + 1
-        if number > len(self._times):
+        count_to_expire = int(excess) + 1
+        if count_to_expire > len(self._times):
             return self.span
-        oldest = heapq.nsmallest(number, self._times)[-1]
-        return max(0.0, oldest + self.span - now)
+        last_to_expire = heapq.nsmallest(count_to_expire, self._times)[-1]
+        return max(0.0, last_to_expire + self.span - now)
