--- a/postspring/budgets/__init__.py
+++ b/postspring/budgets/__init__.py
@@ -1,4 +1,4 @@
-"""Budgets: what a program and its sub-agents may spend."""
+"""Budgets: limits on the spending of a program and its sub-agents."""
 
 from postspring.budgets.ledger import Account
 from postspring.budgets.ledger import MicroUnits
--- a/postspring/budgets/ledger.py
+++ b/postspring/budgets/ledger.py
@@ -1,7 +1,7 @@
 """The budget account of a program.
 
-Money is counted in whole micro-units (millionths of the operator's
-currency), so sums are exact.
+Amounts are integers in micro-units (millionths of the operator's currency),
+so sums are exact.
 """
 
 from typing import NewType
@@ -12,21 +12,22 @@
 
 
 class Account:
-    """What one program has spent and reserved against its limit.
+    """Amounts that one program has spent and reserved of its limit.
 
     Explanation
     ===========
 
-    A call's worst case is reserved before it is dispatched and settled with
-    its outcome.  A sub-agent's account has its parent's account as
-    ``parent``: whatever it reserves or spends also weighs on every account
-    above, so many sub-agents at once can't pass the root's limit together.
+    A call's maximum cost is reserved before the call is dispatched, and
+    settled with its actual cost.  The account of a sub-agent has that of the
+    parent program as ``parent``: each amount is also reserved or spent in
+    all accounts above, so that concurrent sub-agents can't exceed the limit
+    of the root together.
 
     Parameters
     ==========
 
     limit : MicroUnits or None
-        The most that may be spent; None means bounded by the parent alone.
+        Maximum amount to spend; None means that only the parent limits it.
     parent : Account, optional
         The account of the parent program.
 
@@ -57,34 +58,37 @@
         """Micro-units that may still be reserved; None if unbounded."""
         bounds = [
             account.limit - account.spent - account.reserved
-            for account in self._chain()
+            for account in self._self_and_ancestors()
             if account.limit is not None
         ]
         return min(bounds, default=None)
 
     def fits(self, amount: int) -> bool:
-        """Return whether ``amount`` more could be reserved."""
+        """Return whether ``amount`` can be reserved."""
         available = self.available
         return available is None or amount <= available
 
     def reserve(self, amount: int) -> bool:
-        """Reserve ``amount`` here and above, or nothing and return False."""
+        """Reserve ``amount`` here and in all accounts above.
+
+        Return False, and reserve nothing, if any of them lacks it.
+        """
         if amount < 0:
             raise ValueError("an amount can't be negative")
         if not self.fits(amount):
             return False
-        for account in self._chain():
+        for account in self._self_and_ancestors():
             account.reserved += amount
         return True
 
     def settle(self, *, reserved: int, cost: int) -> None:
         """Release ``reserved`` and charge ``cost``, at most ``reserved``."""
         charged = min(cost, reserved)
-        for account in self._chain():
+        for account in self._self_and_ancestors():
             account.reserved -= reserved
             account.spent += charged
 
-    def _chain(self):
+    def _self_and_ancestors(self):
         account = self
         while account is not None:
             yield account
--- a/postspring/budgets/tests/test_ledger.py
+++ b/postspring/budgets/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Budget accounts."""
+"""Budget accounts of programs and sub-agents."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class AccountTest(unittest.TestCase):
-    """Reservation and settlement along a chain of accounts."""
+    """Reserves and settles amounts in accounts with a parent."""
 
     def test_many_sub_agents_share_the_root_limit(self):
         root = budgets.Account(100)
@@ -18,7 +18,7 @@
         self.assertEqual(14, granted)
         self.assertEqual(98, root.reserved)
 
-    def test_own_limit_of_a_sub_agent(self):
+    def test_sub_agent_has_its_own_limit(self):
         root = budgets.Account(100)
         agent = budgets.Account(10, root)
         self.assertFalse(agent.reserve(11))
@@ -43,7 +43,7 @@
             )
         )
     )
-    def test_spent_and_reserved_never_pass_the_limit(self, steps):
+    def test_spent_and_reserved_never_exceed_the_limit(self, steps):
         root = budgets.Account(100)
         agents = [
             budgets.Account(None, root),
--- a/postspring/forwarding/admission.py
+++ b/postspring/forwarding/admission.py
@@ -84,7 +84,7 @@
         if not route.is_public and not self.is_confirmed:
             return refusals.Refusal.KEYS_UNCONFIRMED
         key = self._wire.decode_key(call.fields)
-        found = directory.holder_of(key) if self.is_confirmed else None
+        found = directory.find_by_key(key) if self.is_confirmed else None
         if found is not None or route.is_public:
             return found
         if not key and call.header(ports.RELAYED_NAME):
--- a/postspring/routing/__init__.py
+++ b/postspring/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing: which service a call goes to, and what may be done with it."""
+"""Routing: selects the service of a call and the rules for its delivery."""
 
 from postspring.routing.routes import CallKind
 from postspring.routing.routes import Route
--- a/postspring/routing/routes.py
+++ b/postspring/routing/routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and path prefix."""
+"""Routes, which are found by host and path prefix."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -8,11 +8,12 @@
 
 
 class CallKind(enum.Enum):
-    """What may be repeated.
+    """Kind of a route's calls, which decides whether they may be repeated.
 
     ``IDEMPOTENT`` calls may run more than once.  ``ONCE`` calls run at most
-    once for each attempt of the caller; so do ``STREAM`` calls, whose
-    answer is a series of events, unless they may be resumed.
+    once for each attempt of the caller.  ``STREAM`` calls are answered by a
+    series of events; they run at most once, too, unless the route allows
+    streams to be resumed.
     """
 
     IDEMPOTENT = "idempotent"
@@ -22,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service that gets a share of a route's calls, by weight."""
+    """A service that receives a weighted share of a route's calls."""
 
     service: str
     weight: float = 1.0
@@ -30,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """One route; times in seconds.
+    """A route with its rules; times in seconds.
 
     Parameters
     ==========
@@ -38,26 +39,27 @@
     prefix : str
         Begins and ends with a slash.
     shares : tuple of ServiceShare
-        The services that calls go to.
+        The services that receive the calls.
     timeout : float
-        Longest time that a caller is kept waiting.
+        Maximum time between a call and its answer.
     objective : float
-        Time within which an answer has its full worth.
+        Latency up to which an answer has its full value; for streams, the
+        latency of the first event.
     max_attempts : int
-        Upstreams to which one call may be sent.
+        Maximum number of attempts, without those that reach no upstream.
     priority : int
-        Rank, 0 first.
+        Rank of the calls; 0 comes first.
     keeps_history : bool
-        A turn carries new input only and names the turn that it continues;
-        otherwise the caller carries the whole conversation.
+        A turn contains only its new input and names the turn that it
+        continues; otherwise the caller sends the whole conversation.
     retention : float
-        How long a turn and its chain, or what a program has used, are kept.
+        Time for which a turn and its chain, or a program's usage, are kept.
     pause_objective : float
-        Longest pause between two events of a stream that is on time.
+        Objective for the pauses between the events of a stream.
+    may_resume : bool
+        A stream may run more than once, and resume at another upstream.
     is_public : bool
         Callers need no key.
-    may_resume : bool
-        A stream may run more than once, and go on at another upstream.
     """
 
     name: str
@@ -85,13 +87,13 @@
 
     @property
     def has_programs(self) -> bool:
-        """Whether calls are turns: they have a program and a budget."""
+        """Whether calls are turns of programs with budgets."""
         if self.kind is not CallKind.STREAM:
             return False
         return self.keeps_history or self.retention > 0
 
-    def choose_service(self, draw: float) -> str:
-        """Return the service for a draw from 0 to 1.
+    def choose_service(self, fraction: float) -> str:
+        """Return the service for a random number from 0 to 1.
 
         Examples
         --------
@@ -100,17 +102,17 @@
         >>> route.choose_service(0.5), route.choose_service(0.9)
         ('a', 'b')
         """
-        total = sum(share.weight for share in self.shares)
-        point = draw * total
+        total_weight = sum(share.weight for share in self.shares)
+        remaining_weight = fraction * total_weight
         for share in self.shares:
-            point -= share.weight
-            if point < 0:
+            remaining_weight -= share.weight
+            if remaining_weight < 0:
                 return share.service
         return self.shares[-1].service
 
 
 class RouteTable:
-    """Finds the route of a call: longest prefix of the host's routes.
+    """Finds the route of a call by the longest prefix on its host.
 
     Examples
     ========
@@ -140,12 +142,12 @@
         if not by_prefix:
             return None
         path = target.split("?", 1)[0]
-        end = path.rfind("/")
-        while end >= 0:
-            route = by_prefix.get(path[: end + 1])
+        prefix_end = path.rfind("/")
+        while prefix_end >= 0:
+            route = by_prefix.get(path[: prefix_end + 1])
             if route is not None:
                 return route
-            end = path.rfind("/", 0, end)
+            prefix_end = path.rfind("/", 0, prefix_end)
         return None
 
     def __iter__(self):
--- a/postspring/routing/services.py
+++ b/postspring/routing/services.py
@@ -7,17 +7,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What all model engines of a service have in common.
+    """Properties that all model engines of a service share.
 
     Parameters
     ==========
 
     slots : int
-        Calls that run at once.
+        Calls that run at the same time.
     cache_tokens : int
         Memory for running calls and cached prompts, in tokens.
     tokens_per_event : int
-        Tokens that one event of a stream counts as.
+        Tokens that each event of a stream counts for.
     """
 
     slots: int
@@ -33,7 +33,7 @@
     ==========
 
     max_connections : int
-        Connections that one upstream accepts from all callers together.
+        Connections that one upstream accepts from all clients together.
     """
 
     name: str
--- a/postspring/routing/snapshot.py
+++ b/postspring/routing/snapshot.py
@@ -1,4 +1,4 @@
-"""One version of the whole configuration."""
+"""One version of the configuration."""
 
 import dataclasses
 import functools
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send; sizes in bytes, times in seconds."""
+    """Limits of callers' requests; sizes in bytes, times in seconds."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -24,13 +24,14 @@
 class Snapshot:
     """The operator's configuration at one version.
 
-    Versions increase in uneven steps; a lower one never replaces a higher.
+    Versions increase, not always by one; an older version never replaces a
+    newer one.
 
     Parameters
     ==========
 
     workspaces : WorkspaceDirectory or None
-        Whose keys callers need; None: they need none.
+        The workspaces whose keys callers need; None if they need no key.
     """
 
     version: int
@@ -41,26 +42,26 @@
 
     @functools.cached_property
     def longest_retention(self) -> float:
-        """How long turns are kept on any route, in seconds."""
+        """The longest retention of any route, in seconds."""
         return max((route.retention for route in self.routes), default=0.0)
 
     @functools.cached_property
     def table(self) -> routes.RouteTable:
-        """The routes, ready for look-up."""
+        """The routes, indexed for look-ups."""
         return routes.RouteTable(self.routes)
 
     def tokens_per_event(self, route: routes.Route) -> int:
-        """Return the most tokens that one event of a route may count as."""
+        """Return the maximum of tokens that an event of a route counts for."""
         counts = [engine.tokens_per_event for engine in self._engines(route)]
         return max(counts, default=1)
 
     def has_room(self, route: routes.Route, tokens: int) -> bool:
-        """Return whether some engine of a route has memory for a call.
+        """Return whether any engine of a route has enough memory for a call.
 
         Explanation
         -----------
-        An engine refuses a call that is larger than its memory as if it
-        were full, so it would be tried again and again in vain.
+        An engine refuses a call that exceeds its memory in the same way as
+        when it is full, so the call would be retried in vain.
         """
         engines = self._engines(route)
         if len(engines) < len(route.shares):
--- a/postspring/workspaces/__init__.py
+++ b/postspring/workspaces/__init__.py
@@ -1,4 +1,4 @@
-"""Workspaces: whose a call is, by the API key that came with it."""
+"""Workspaces, to which calls belong by their API key."""
 
 from postspring.workspaces.directory import KeyDigest
 from postspring.workspaces.directory import WorkspaceDirectory
--- a/postspring/workspaces/directory.py
+++ b/postspring/workspaces/directory.py
@@ -1,4 +1,4 @@
-"""Workspaces by name, and by the keys that callers show."""
+"""Look-up of workspaces by name and by API key."""
 
 from collections.abc import Iterable
 import hashlib
@@ -12,7 +12,7 @@
 
 KeyDigest = NewType("KeyDigest", bytes)
 
-# Of this process alone: a digest is of no use anywhere else.
+# Random for each process, so digests can't be used elsewhere.
 _SECRET = os.urandom(32)
 _DIGEST_BYTES = 16
 
@@ -23,37 +23,39 @@
     Explanation
     ===========
 
-    Keys are kept as keyed digests.  How long a look-up takes tells nothing
-    of a key, and a dump or a log line can't show one.
+    API keys are stored as keyed digests.  The time of a look-up reveals
+    nothing about a key, and neither does a memory dump or a log line.
 
     Parameters
     ==========
 
-    keyed : iterable of (Workspace, list of str)
-        The workspaces, each with its API keys.
+    workspaces_with_keys : iterable of (Workspace, list of str)
+        Workspaces, each with its API keys.
 
     Examples
     ========
 
     >>> acme = workspace_module.Workspace("acme")
     >>> directory = WorkspaceDirectory([(acme, ["k-1", "k-2"])])
-    >>> directory.holder_of("k-2").name, directory.holder_of("k-3")
+    >>> directory.find_by_key("k-2").name, directory.find_by_key("k-3")
     ('acme', None)
     """
 
     def __init__(
         self,
-        keyed: Iterable[tuple[workspace_module.Workspace, list[str]]] = (),
+        workspaces_with_keys: Iterable[
+            tuple[workspace_module.Workspace, list[str]]
+        ] = (),
     ):
         self.by_name: dict[
             workspace_module.WorkspaceName, workspace_module.Workspace
         ] = {}
         self._by_digest: dict[KeyDigest, workspace_module.Workspace] = {}
-        for workspace, keys in keyed:
+        for workspace, keys in workspaces_with_keys:
             self._add(workspace, keys)
 
-    def holder_of(self, key: str) -> workspace_module.Workspace | None:
-        """Return the workspace that holds a key, or None."""
+    def find_by_key(self, key: str) -> workspace_module.Workspace | None:
+        """Return the workspace with a key, or None."""
         return self._by_digest.get(_digest(key)) if key else None
 
     # -- own ------------------------------------------------------------------
@@ -65,9 +67,9 @@
         self.by_name[workspace.name] = workspace
         for key in keys:
             digest = _digest(key)
-            other = self._by_digest.get(digest, workspace)
-            if other is not workspace:
-                text = f"{other.name!r} and {workspace.name!r} share a key"
+            holder = self._by_digest.get(digest, workspace)
+            if holder is not workspace:
+                text = f"{holder.name!r} and {workspace.name!r} share a key"
                 raise errors.ConfigurationError(text)
             self._by_digest[digest] = workspace
 
--- a/postspring/workspaces/scope.py
+++ b/postspring/workspaces/scope.py
@@ -1,4 +1,4 @@
-"""Names that callers choose, made a workspace's own."""
+"""Prefixes names that callers choose with their workspace."""
 
 import urllib.parse
 
@@ -6,23 +6,23 @@
 
 __all__ = ["scoped"]
 
-# Longer names of workspaces are told apart by their hash: what callers name
-# has to fit in a record's key, too.
-LONGEST_PREFIX = 64
+# Longer names of workspaces are replaced by a hash, as the prefix and the name
+# that the caller chooses have to fit in the key of a record.
+MAX_PREFIX_LENGTH = 64
 
 
 def scoped(workspace: str, name: str) -> str:
-    """Return a name that no other workspace can mean.
+    """Return a name that is unique to a workspace.
 
     Explanation
     -----------
-    Records, copies and messages among VMs carry such names, so two
-    workspaces that choose the same one share nothing, whatever way it goes.
+    Records, replicas and messages between VMs contain only scoped names, so
+    two workspaces that choose the same name share nothing.
 
     Parameters
     ----------
     workspace : str
-        Its name, or empty for callers that need no key.
+        Name of the workspace; empty for callers without a key.
 
     Examples
     --------
@@ -30,6 +30,6 @@
     ('acme/p1', 'acme%2Fp/1', '/acme/p1')
     """
     prefix = urllib.parse.quote(workspace, safe="")
-    if len(prefix) > LONGEST_PREFIX:
+    if len(prefix) > MAX_PREFIX_LENGTH:
         prefix = f"!{xxhash.xxh3_128_hexdigest(workspace.encode())}"
     return f"{prefix}/{name}"
--- a/postspring/workspaces/workspace.py
+++ b/postspring/workspaces/workspace.py
@@ -10,18 +10,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateLimit:
-    """How many requests may run, over all VMs together.
+    """Rate limit of a workspace, for all VMs together.
 
-    In any span of some seconds at most ``rate`` times the span, and
-    ``burst`` more.
+    In any span of time, at most ``rate`` times the span plus ``burst``
+    requests may run.
 
     Parameters
     ==========
 
     rate : float
-        Requests a second.
+        Requests per second.
     burst : float
-        Requests on top.
+        Requests above the rate.
     """
 
     rate: float
@@ -30,15 +30,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """A workspace; its API keys are known to the directory only.
+    """A workspace; only the directory holds its API keys.
 
     Parameters
     ==========
 
     priority : int or None
-        Rank of its calls, 0 first; None: that of the call's route.
+        Rank of its calls, 0 comes first; None: the rank of the route.
     limit : RateLimit or None
-        None: it has no limit.
+        None if the workspace has no limit.
     """
 
     name: WorkspaceName
