--- a/postspring/forwarding/budgeted_call.py
+++ b/postspring/forwarding/budgeted_call.py
@@ -80,11 +80,11 @@
             self._prepare()
 
     def _prepare(self) -> None:
-        """Prepare the turn and open it; here nothing has to be prepared."""
+        """Open the turn; subclasses read what it needs before that."""
         self._open()
 
     def _on_deadline(self) -> None:
-        """Refuse a turn without a delivery, which has its own timer."""
+        """Refuse the turn, unless a delivery with its own timer exists."""
         if self.delivery is None and not self._closed:
             self._close(refusals.Refusal.TIMED_OUT_UNSENT)
 
@@ -196,21 +196,19 @@
             return
         peers = self._services.peers
 
-        def found(finding: ports.Finding) -> None:
+        def on_finding(finding: ports.Finding) -> None:
             if self._closed:
                 return
             self._outcome.add(others=finding.facts)
-            target = self._relay_target(finding)
+            target = self._target_of(finding)
             if target is not None and not self._is_relayed:
                 self._relay_to_peer(target)
             else:
                 on_no_target(finding)
 
-        peers.find(self._facts, found, question)
+        peers.find(self._facts, on_finding, question)
 
-    def _relay_target(
-        self, finding: ports.Finding
-    ) -> upstreams.Upstream | None:
+    def _target_of(self, finding: ports.Finding) -> upstreams.Upstream | None:
         """Return the VM to which the turn should be relayed."""
         return finding.taker
 
@@ -218,7 +216,8 @@
     def _should_redirect_caller(self) -> bool:
         """Whether the caller should connect to another data centre.
 
-        Its VMs can continue the program if all its turns are in the log.
+        This data centre is cut off then; VMs of others can continue only a
+        program whose turns are all in the log.
         """
         peers = self._services.peers
         return (
@@ -262,17 +261,17 @@
 
         If the answers of the other VMs leave that uncertain, the program
         gets the one turn by which its budget may be exceeded, and only if
-        no VM remembers such a request of another VM: successive VMs with
-        an offline budget exceeded it by one turn each.
+        no VM remembers that another one asked to open an offline budget:
+        otherwise successive VMs exceeded the budget by one turn each.
         """
         journal = self._journal
-        known = (
+        may_have_run = (
             journal.knows(self._program)
             or finding.is_known
             or self._may_have_run_elsewhere
         )
         is_certain = finding.knows_all or (
-            finding.is_certain and not (known or finding.has_gone_on)
+            finding.is_certain and not (may_have_run or finding.has_gone_on)
         )
         may_begin = finding.is_answered and not finding.is_deferred
         if finding.has_gone_on and not is_certain:
@@ -311,20 +310,20 @@
         """Relay events up to the token limit of the turn."""
         limit = self._ticket.limit
         if limit is not None:
-            room = limit // self._tokens_per_event - self._events
-            if len(events) > room:
-                self._stop_at_budget(events[:room])
+            max_events = limit // self._tokens_per_event - self._events
+            if len(events) > max_events:
+                self._stop_at_budget(events[:max_events])
                 return
-        self._pass_events(events)
+        self._relay_events(events)
 
     def _stop_at_budget(self, events: list[bytes]) -> None:
         """Relay the last events, and end the turn at its token limit."""
         if events:
-            self._pass_events(events)
+            self._relay_events(events)
         self.delivery.cancel()
         self.stream_broken("budget")
 
-    def _pass_events(self, events: list[bytes]) -> None:
+    def _relay_events(self, events: list[bytes]) -> None:
         self._events += len(events)
         super().stream_events(events)
 
--- a/postspring/forwarding/certainty.py
+++ b/postspring/forwarding/certainty.py
@@ -42,7 +42,7 @@
     VM_ABSENT = "vm_absent"
     # A VM was started after the turn may have ended.
     VM_RESTARTED = "vm_restarted"
-    # This VM was.
+    # This VM was started after the turn may have ended.
     STARTED_LATELY = "started_lately"
     # The list of VMs was read before the request.
     OLD_LIST = "old_list_of_vms"
--- a/postspring/forwarding/delivery.py
+++ b/postspring/forwarding/delivery.py
@@ -171,10 +171,10 @@
         self._retry("slow", refusals.Refusal.UNKNOWN_OUTCOME)
 
     def _refusal_without_upstream(self) -> refusals.Refusal:
-        otherwise = refusals.Refusal.NO_UPSTREAM
+        if_not_run = refusals.Refusal.NO_UPSTREAM
         if self._dispatcher.directory.is_out_of_reach(self._service):
-            otherwise = refusals.Refusal.UPSTREAMS_UNREACHABLE
-        return self.attempts.final_refusal(otherwise)
+            if_not_run = refusals.Refusal.UPSTREAMS_UNREACHABLE
+        return self.attempts.final_refusal(if_not_run)
 
     def _request(self, upstream: upstreams.Upstream) -> transport.HttpRequest:
         extra = ports.UpstreamExtra(
@@ -331,12 +331,12 @@
         self._retry("shed", refusals.Refusal.UPSTREAMS_REFUSED)
 
     def _retry(
-        self, reason: str, otherwise: refusals.Refusal, detail: str = ""
+        self, reason: str, if_not_run: refusals.Refusal, detail: str = ""
     ) -> None:
         """Send the call again if that is allowed, or give up."""
         if not self.attempts.allows_retry(self._dispatcher.timers.now()):
             self._give_up(
-                self.attempts.final_refusal(otherwise), detail or reason
+                self.attempts.final_refusal(if_not_run), detail or reason
             )
             return
         self._dispatcher.metrics.retries.add(1, {"reason": reason})
--- a/postspring/forwarding/turn_call.py
+++ b/postspring/forwarding/turn_call.py
@@ -82,9 +82,7 @@
 
     # -- other VMs ------------------------------------------------------------
 
-    def _relay_target(
-        self, finding: ports.Finding
-    ) -> upstreams.Upstream | None:
+    def _target_of(self, finding: ports.Finding) -> upstreams.Upstream | None:
         if finding.taker is None and not self._has_chain:
             return finding.chain_holder
         return finding.taker
@@ -132,7 +130,7 @@
 
     # -- callbacks of the delivery --------------------------------------------
 
-    def _pass_events(self, events: list[bytes]) -> None:
+    def _relay_events(self, events: list[bytes]) -> None:
         data = [event_splitter.event_data(event) + b"\n" for event in events]
         self._turn_bytes += sum(map(len, data))
         if self._turn_bytes > self._journal.sizes.turn:
@@ -140,7 +138,7 @@
             self.stream_broken("too_large")
             return
         self._output += data
-        super()._pass_events(events)
+        super()._relay_events(events)
 
     def stream_ended(self) -> None:
         """Record the turn, and complete the answer after that.
@@ -176,7 +174,7 @@
         if self._closed:
             return
         if kept_by == histories.NOWHERE:
-            # The log may still accept the record.
+            # The log may still accept the record, but that is not certain.
             self._abort_answer("unrecorded")
             return
         self._closed = True
--- a/postspring/quotas/dealer.py
+++ b/postspring/quotas/dealer.py
@@ -60,8 +60,8 @@
 
     GRANTED = "granted"
     REFUSED = "refused"
-    # This VM has started or was paused lately: another one may be the
-    # allocator.
+    # This VM joined or was paused lately, or is about to stop: another one may
+    # be the allocator.
     NOT_READY = "not_ready"
 
 
