--- a/postspring/forwarding/limits.py
+++ b/postspring/forwarding/limits.py
@@ -22,7 +22,7 @@
     retry_after : float or None
         Seconds after which a retry may be allowed.
     dealers : int
-        Quota allocators that were asked.
+        Number of quota allocators that were asked.
     give_back : callable
         Returns the permit; called if the call did not run and never will.
     """
--- a/postspring/forwarding/plain.py
+++ b/postspring/forwarding/plain.py
@@ -1,4 +1,4 @@
-"""Plain calls: forwarded unchanged and without a record in the log."""
+"""Plain calls, which are forwarded without a record in the log."""
 
 from postspring.forwarding import choice
 from postspring.forwarding import delivery as delivery_module
--- a/postspring/forwarding/refusals.py
+++ b/postspring/forwarding/refusals.py
@@ -43,7 +43,7 @@
     NO_UPSTREAM = ("no_upstream", 503, 0.3)
     UPSTREAMS_REFUSED = ("upstreams_refused", 503, 0.1)
     JOURNAL_UNAVAILABLE = ("journal_unavailable", 503, 1.2)
-    # The previous turn was found, but not its whole chain; no VM asked has it.
+    # The previous turn was found, but no VM asked holds its whole chain.
     HISTORY_INCOMPLETE = ("history_incomplete", 503, 1.2)
     TURN_UNCERTAIN = ("turn_uncertain", 503, 1.2)
     BUDGET_RESERVED = ("budget_reserved", 503, 0.2)
--- a/postspring/forwarding/silence_timer.py
+++ b/postspring/forwarding/silence_timer.py
@@ -1,4 +1,4 @@
-"""Timeout between two signs of life of an upstream."""
+"""Timeout for an upstream that sends nothing."""
 
 from collections.abc import Callable
 
--- a/postspring/quotas/dealer.py
+++ b/postspring/quotas/dealer.py
@@ -89,18 +89,18 @@
 
     window : SlidingWindow
         Permits of all allocators of this data centre.
-    since : float
-        When this VM became the allocator.
+    allocator_since : float
+        When this VM became the allocator for the last time.
     last_request_at : float
         When a VM last requested a permit.
     has_predecessor : bool
         Another VM may have granted permits in the last span.
     granted : int
-        Permits that this VM granted.
+        Permits that this VM granted since then.
     """
 
     window: window_module.SlidingWindow
-    since: float
+    allocator_since: float
     last_request_at: float
     has_predecessor: bool
     granted: int = 0
@@ -221,7 +221,7 @@
         return max(1, math.floor(max_permits * min(1.0, uptime / self._span)))
 
     def _is_learning(self, usage, limit, now: float) -> bool:
-        age = now - usage.since
+        age = now - usage.allocator_since
         allowed = 1.0 + age * limit.rate / self._parts
         is_new = age < LEARNING_SECONDS and usage.granted + 1 > allowed
         return is_new and usage.has_predecessor
@@ -233,12 +233,12 @@
 
     def _was_sole_allocator(self, now: float) -> bool:
         """Whether no other VM replaced this one in the last span."""
-        listed = self._listed_seconds()
-        ready = min(
-            listed - SETTLE_SECONDS,
+        listed_seconds = self._listed_seconds()
+        ready_seconds = min(
+            listed_seconds - SETTLE_SECONDS,
             now - self._suspended_until,
         )
-        return ready > self._span
+        return ready_seconds > self._span
 
     def _usage_of(
         self, name: str, is_first: bool, now: float
--- a/postspring/quotas/window.py
+++ b/postspring/quotas/window.py
@@ -53,7 +53,7 @@
     def seconds_until(self, below: float, now: float) -> float:
         """Return the seconds until fewer than ``below`` permits count.
 
-        It holds if no permit is added meanwhile.
+        Assumes that no permit is added meanwhile.
         """
         excess = self.count(now) - below
         if excess < 0:
--- a/postspring/scheduling/placement.py
+++ b/postspring/scheduling/placement.py
@@ -95,12 +95,12 @@
     ========
 
     >>> from postspring import upstreams
-    >>> def make(name, place, load):
+    >>> def make(name, data_center, load):
     ...     return upstreams.Upstream(
     ...         id=name,
     ...         service="",
     ...         address=("", 0),
-    ...         data_center=place,
+    ...         data_center=data_center,
     ...         concurrency=8,
     ...         in_flight=load,
     ...     )
