--- a/postspring/upstreams/__init__.py
+++ b/postspring/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Upstreams: engines, tools and plain services that calls are sent to."""
+"""Upstreams: the engines, tools and plain services that serve calls."""
 
 from postspring.upstreams.directory import Announcement
 from postspring.upstreams.directory import Directory
--- a/postspring/upstreams/directory.py
+++ b/postspring/upstreams/directory.py
@@ -1,8 +1,7 @@
-"""The upstreams that announced themselves, by id and by service.
+"""The upstreams that have announced themselves, by id and by service.
 
-An upstream may start again under its id.  It holds and knows nothing of what
-was before, so whatever a VM observed belongs to one incarnation of it: an id
-and the time of a start.
+An upstream may restart under the same id.  It loses all its state then, so
+what a VM has observed belongs to one incarnation: an id and a start time.
 """
 
 from collections.abc import Callable
@@ -27,40 +26,41 @@
 LOG = logging.getLogger(__name__)
 
 UpstreamId = NewType("UpstreamId", str)
-# One start of an upstream.
+# Identifies one run of an upstream, from its start to its exit.
 IncarnationId = NewType("IncarnationId", str)
 
-# An upstream whose machine does not acknowledge is left alone for this
-# long; when two of a data centre are, all of it is, in seconds.
+# How long an upstream whose machine does not acknowledge packets gets no work,
+# in seconds; with so many of them in a data centre, none there gets work.
 UNREACHABLE_SECONDS = 1.5
-UNREACHABLE_UPSTREAMS = 2
-# How often one of them is tried all the same, in seconds.
+MIN_UNREACHABLE_UPSTREAMS = 2
+# Interval between probes of a service whose upstreams are all unreachable, in
+# seconds.
 PROBE_SECONDS = 0.5
-# An entry of an earlier start that was written late changes nothing for this
-# long after the last entry of a later one, in seconds.  Late writes take
-# effect within 6 s; after that the later start is silent and the earlier one
-# is not, which is what a clock that was set back looks like.
-LATE_ENTRY_SECONDS = 10.0
+# How long an entry of an earlier incarnation is ignored after the last entry
+# of a later one, in seconds.  A delayed write takes effect within 6 s.  If the
+# earlier start time still appears after this, the machine's clock was set back
+# between the two starts.
+STALE_ENTRY_SECONDS = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announcement:
-    """What an upstream says of itself.
+    """An upstream's entry in the log, decoded.
 
     Parameters
     ==========
 
     address : tuple of (str, int)
-        IP number and port; may be another upstream's later.
+        IP address and port; another upstream may reuse them later.
     slots : int
         Calls that it runs at once.
     leaving : bool
-        It will exit soon and gets no more work.
+        It will exit soon and gets no new work.
     warm_up : float
-        Seconds for which it stays slow after its start.
+        Seconds for which it is still slow after its start.
     born : int or None
-        When it was started, in milliseconds of Unix time; None where starts
-        are told apart by their ids.
+        Start time in milliseconds of Unix time; None if each start has an id
+        of its own.
     """
 
     id: UpstreamId
@@ -75,16 +75,17 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True, eq=False)
 class Upstream(load_module.UpstreamLoad):
-    """One start of an upstream: what it announced, what was observed.
+    """One incarnation of an upstream: announced attributes and load.
 
     Parameters
     ==========
 
-    missing_until : float
-        It has no entry any more, and may be alive all the same: until then
-        it gets new work; without end while it has one.  Seconds.
+    expires_at : float
+        Time until which it gets new work although its entry is gone, as it
+        may still run; infinite while it has an entry.  Seconds.
     unreadable : bool
-        Its entry is none that it can have written: it gets no new work.
+        Its current entry is not a valid one of this upstream: it gets no
+        new work.
 
     Examples
     ========
@@ -109,103 +110,104 @@
     warm_at: float = 0.0
     unreachable_at: float = -math.inf
     born: int | None = None
-    missing_until: float = math.inf
+    expires_at: float = math.inf
     unreadable: bool = False
 
     @property
     def incarnation(self) -> IncarnationId:
-        """What places and loads are known by; no other start has it."""
+        """Key of placement and load; each start has another one."""
         if self.born is None:
             return IncarnationId(self.id)
         return IncarnationId(f"{self.id}@{self.born}")
 
     @property
     def has_entry(self) -> bool:
-        """Whether the log has an entry of it, as far as is known here."""
-        return self.missing_until == math.inf
+        """Whether the log has an entry of it, by what was read last."""
+        return self.expires_at == math.inf
 
-    def is_gone(self, now: float) -> bool:
-        """Return whether it has had no entry for too long."""
-        return now >= self.missing_until
+    def is_expired(self, now: float) -> bool:
+        """Return whether its entry has been missing for too long."""
+        return now >= self.expires_at
 
     def is_unreachable(self, now: float) -> bool:
-        """Return whether the machine did not acknowledge lately."""
+        """Return whether it, or its data centre, failed to respond lately."""
         return now - self.unreachable_at < UNREACHABLE_SECONDS
 
 
-class _LatestStart(NamedTuple):
-    """When an upstream was started last, and when it said so.
+class _LatestIncarnation(NamedTuple):
+    """Start time of the incarnation whose entry was applied last.
 
     Parameters
     ==========
 
     born : int
-        Milliseconds of Unix time.
+        Start time in milliseconds of Unix time.
     read_at : float
-        Seconds on this VM's own clock.
+        When this VM read the entry; monotonic seconds.
     """
 
     born: int
     read_at: float
 
 
-def _is_same_start(upstream: Upstream, entry: Announcement) -> bool:
-    told = (entry.born, entry.service, entry.address)
-    return told == (upstream.born, upstream.service, upstream.address)
+def _is_same_incarnation(upstream: Upstream, entry: Announcement) -> bool:
+    announced = (entry.born, entry.service, entry.address)
+    return announced == (upstream.born, upstream.service, upstream.address)
 
 
 class Directory:
-    """Upstreams by id.
+    """Upstreams by id, kept up to date from their entries in the log.
 
     Parameters
     ==========
 
     now : callable
         Monotonic time in seconds.
-    on_gone : callable
-        Called with an upstream that gets no more work.
+    on_retired : callable
+        Called with an upstream that is leaving, was removed or restarted,
+        and gets no more work.
     """
 
     def __init__(
         self,
         now: Callable[[], float],
-        on_gone: Callable[[Upstream], None] = lambda upstream: None,
+        on_retired: Callable[[Upstream], None] = lambda upstream: None,
     ):
         self._now = now
-        self._on_gone = on_gone
+        self._on_retired = on_retired
         self.by_id: dict[UpstreamId, Upstream] = {}
-        self._tolerant_until = 0.0
+        self._grace_ends_at = 0.0
         self._probed_at_by_service: dict[str, float] = {}
-        self._latest_by_id: dict[UpstreamId, _LatestStart] = {}
+        self._latest_by_id: dict[UpstreamId, _LatestIncarnation] = {}
 
     def announce(self, entry: Announcement) -> None:
-        """Take an upstream's entry, a first one or a changed one."""
+        """Add or update an upstream according to its entry."""
         upstream = self.by_id.get(entry.id)
         if upstream is not None and upstream.born and entry.born is None:
-            # Another writer's: this upstream tells when it was started.
+            # Not written by this upstream: its entries have a start time.
             self.hold_back(entry.id)
             return
-        if self._is_late(entry):
+        if self._is_stale(entry):
             return
-        self._note_start(entry)
-        if upstream is not None and not _is_same_start(upstream, entry):
+        self._note_incarnation(entry)
+        if upstream is not None and not _is_same_incarnation(upstream, entry):
             self._drop(upstream, "upstream started again")
             upstream = None
         if upstream is None:
             upstream = self._add(entry)
-        upstream.missing_until = math.inf
+        upstream.expires_at = math.inf
         upstream.unreadable = False
         upstream.concurrency = entry.slots
         upstream.warm_at = self._now() + entry.warm_up
         if entry.leaving and not upstream.leaving:
             upstream.leaving = True
             self._log("upstream leaving", upstream)
-            self._on_gone(upstream)
+            self._on_retired(upstream)
 
     def hold_back(self, upstream_id: UpstreamId) -> None:
-        """Take note that an entry names no upstream that can be used.
+        """Give an upstream no new work, as its entry is invalid.
 
-        Calls that run there go on; the next good entry makes it usable.
+        Calls in flight continue; the next valid entry makes it usable again.
         """
         upstream = self.by_id.get(upstream_id)
         if upstream is not None and not upstream.unreadable:
@@ -213,12 +215,15 @@
             self._log("upstream held back", upstream)
 
     def withdraw(self, upstream_id: UpstreamId) -> None:
-        """Take note that an entry was removed."""
+        """Remove an upstream whose entry was removed from the log.
+
+        During the grace period after an outage it expires later.
+        """
         upstream = self.by_id.get(upstream_id)
         if upstream is None:
             return
-        if self._now() < self._tolerant_until:
-            upstream.missing_until = self._tolerant_until
+        if self._now() < self._grace_ends_at:
+            upstream.expires_at = self._grace_ends_at
             self._log("upstream missing", upstream)
         else:
             self._drop(upstream)
@@ -228,7 +233,7 @@
         entries: Iterable[Announcement],
         unreadable: Iterable[UpstreamId] = (),
     ) -> None:
-        """Take all entries that there are; others were removed."""
+        """Apply all current entries; withdraw upstreams without one."""
         entries = list(entries)
         for entry in entries:
             self.announce(entry)
@@ -241,19 +246,24 @@
                 self.withdraw(upstream_id)
 
     def tolerate_missing(self, until: float) -> None:
-        """Take note that entries may have lapsed while the log was away.
+        """Begin a grace period after an outage of the log.
 
-        An upstream that lives writes its entry again; until a moment it
-        gets work without one.
+        Entries may have expired in the outage.  An upstream that still runs
+        writes its entry again; meanwhile it gets work without one.
+
+        Parameters
+        ----------
+        until : float
+            End of the grace period; monotonic seconds.
         """
-        self._tolerant_until = until
+        self._grace_ends_at = until
 
     def drop_missing(self) -> None:
-        """Forget the upstreams that have had no entry for too long."""
-        self._forget_starts()
+        """Remove the upstreams whose entry has been missing for too long."""
+        self._discard_old_incarnations()
         now = self._now()
         for upstream in list(self.by_id.values()):
-            if upstream.is_gone(now):
+            if upstream.is_expired(now):
                 self._drop(upstream)
 
     def usable(self, service: str) -> list[Upstream]:
@@ -261,58 +271,60 @@
         now = self._now()
         return [
             upstream
-            for upstream in self._staying(service)
+            for upstream in self._eligible(service)
             if upstream.accepts(now)
         ]
 
     def last_resort(self, service: str) -> list[Upstream]:
-        """Return what to try when no upstream of a service is usable.
+        """Return the candidates when no upstream of a service is usable.
 
-        Those that failed lately; of those that are out of reach, one is
-        tried now and then.
+        These are its reachable upstreams, although they failed lately.  If
+        all are unreachable, it is a random one, once per probe interval.
         """
         now = self._now()
-        staying = self._staying(service)
-        reachable = [item for item in staying if not item.is_unreachable(now)]
-        if reachable or not staying:
+        eligible = self._eligible(service)
+        reachable = [item for item in eligible if not item.is_unreachable(now)]
+        if reachable or not eligible:
             return reachable
         probed_at = self._probed_at_by_service.get(service, -math.inf)
         if now - probed_at < PROBE_SECONDS:
             return []
         self._probed_at_by_service[service] = now
-        return [random.choice(staying)]
+        return [random.choice(eligible)]
 
     def is_out_of_reach(self, service: str) -> bool:
-        """Return whether a service has upstreams, all out of reach."""
+        """Return whether a service has upstreams and none is reachable."""
         now = self._now()
-        staying = self._staying(service)
-        return bool(staying) and all(
-            item.is_unreachable(now) for item in staying
+        eligible = self._eligible(service)
+        return bool(eligible) and all(
+            item.is_unreachable(now) for item in eligible
         )
 
     def note_unreachable(self, upstream: Upstream) -> None:
-        """Take note that an upstream's machine does not acknowledge.
+        """Suspend an upstream whose machine does not acknowledge packets.
 
-        Several in a data centre mean that it is cut off; the others there
-        need not be tried one by one.
+        Several of them in a data centre mean that it is cut off, so all its
+        upstreams are suspended without being tried one by one.
         """
         now = self._now()
         upstream.suspend(now, UNREACHABLE_SECONDS)
         upstream.unreachable_at = now
-        there = [
+        same_data_center = [
             other
             for other in self.by_id.values()
             if other.data_center == upstream.data_center
         ]
-        silent = sum(other.is_unreachable(now) for other in there)
-        if silent >= UNREACHABLE_UPSTREAMS:
-            for other in there:
+        unreachable = sum(
+            other.is_unreachable(now) for other in same_data_center
+        )
+        if unreachable >= MIN_UNREACHABLE_UPSTREAMS:
+            for other in same_data_center:
                 other.suspend(now, UNREACHABLE_SECONDS)
                 other.unreachable_at = now
 
     # -- own ------------------------------------------------------------------
 
-    def _staying(self, service: str) -> list[Upstream]:
+    def _eligible(self, service: str) -> list[Upstream]:
         now = self._now()
         return [
             upstream
@@ -320,7 +332,7 @@
             if upstream.service == service
             and not upstream.leaving
             and not upstream.unreadable
-            and not upstream.is_gone(now)
+            and not upstream.is_expired(now)
         ]
 
     def _add(self, entry: Announcement) -> Upstream:
@@ -340,24 +352,24 @@
         del self.by_id[upstream.id]
         upstream.leaving = True
         self._log(text, upstream)
-        self._on_gone(upstream)
+        self._on_retired(upstream)
 
-    def _is_late(self, entry: Announcement) -> bool:
-        """Return whether a later start has written an entry lately."""
+    def _is_stale(self, entry: Announcement) -> bool:
+        """Return whether a later incarnation has written an entry lately."""
         latest = self._latest_by_id.get(entry.id)
         if latest is None or entry.born is None:
             return False
         age = self._now() - latest.read_at
-        return entry.born < latest.born and age < LATE_ENTRY_SECONDS
+        return entry.born < latest.born and age < STALE_ENTRY_SECONDS
 
-    def _note_start(self, entry: Announcement) -> None:
+    def _note_incarnation(self, entry: Announcement) -> None:
         if entry.born is not None:
-            latest = _LatestStart(entry.born, self._now())
+            latest = _LatestIncarnation(entry.born, self._now())
             self._latest_by_id[entry.id] = latest
 
-    def _forget_starts(self) -> None:
-        """Drop the starts of upstreams that nobody hears of any more."""
-        oldest = self._now() - LATE_ENTRY_SECONDS
+    def _discard_old_incarnations(self) -> None:
+        """Discard the incarnations of upstreams removed some time ago."""
+        oldest = self._now() - STALE_ENTRY_SECONDS
         self._latest_by_id = {
             upstream_id: latest
             for upstream_id, latest in self._latest_by_id.items()
--- a/postspring/upstreams/load.py
+++ b/postspring/upstreams/load.py
@@ -1,4 +1,4 @@
-"""What a VM observes of an upstream while it sends work there."""
+"""Load and failures of an upstream, as one VM observes them."""
 
 import dataclasses
 import math
@@ -9,20 +9,20 @@
 FAILURES_TO_SUSPEND = 3
 FIRST_SUSPENSION_SECONDS = 1.0
 LONGEST_SUSPENSION_SECONDS = 30.0
-# Weight of a new observation of the pace.
-PACE_WEIGHT = 0.3
-# What the other VMs have in flight is told four times a second; a figure that
-# is older than this says nothing, in seconds.
-OTHERS_SECONDS = 1.0
-# For how long an upstream whose calls break gets no work, in seconds.  Those
-# that start again take seconds.  Each VM waits up to twice as long, so that
-# some of them find out whether it is back, and not all of them at once.
+# Weight of a new value in the exponential moving average of the pace.
+PACE_SMOOTHING = 0.3
+# How long the reported number of other VMs' calls is valid, in seconds; VMs
+# exchange it every 0.2 s.
+PEER_CALLS_VALID_SECONDS = 1.0
+# How long an upstream whose calls break gets no work, in seconds.  A restart
+# takes seconds.  Each VM adds jitter of up to the same time, so that a few VMs
+# at a time try whether the upstream is back.
 SUSPECT_SECONDS = 1.0
-# So many broken calls in a row mean that an upstream is gone.
-BREAKS_IN_A_ROW = 2
-# After this long nothing is left of what a pace says, in seconds: bursts and
-# slow spells of upstreams take about as long.
-PACE_SECONDS = 4.0
+# Broken calls in a row that count as a failure of the upstream itself.
+MIN_BREAKS_IN_A_ROW = 2
+# Time in which the confidence in a measured pace falls to 0, in seconds:
+# bursts and slow periods of upstreams take about as long.
+PACE_VALID_SECONDS = 4.0
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -35,31 +35,33 @@
     concurrency : int
         Calls that the upstream runs, or gets from this VM, at once.
     in_flight : int
-        Calls that this VM has running there.
+        Calls of this VM that are running there.
     leaving : bool
-        An upstream that is leaving gets no new work.
+        The upstream is about to exit and gets no new work.
+    failures : int
+        Failed calls since the last successful one.
     suspended_until : float
-        After repeated failures, until when it gets no work; seconds.
+        Time until which it gets no new work after failures; seconds.
     pace : float
-        Average seconds between two events of its streams, as seen lately.
-    paced_at : float
-        When a stream last told; seconds.
-    others : int
-        Calls that other VMs had in flight there when they last told.
-    others_at : float
-        When that was; seconds.
+        Moving average of the seconds between two events of its streams.
+    pace_updated_at : float
+        Time of the last measurement of the pace; seconds.
+    peer_calls : int
+        Calls that other VMs have in flight there, as last reported.
+    peer_calls_at : float
+        Time of that report; seconds.
     answered_at : float
-        When anything of an answer came from it last; seconds.
+        Time at which data of any response last arrived; seconds.
     broken_at : float
-        When a call's connection broke last; seconds.
+        Time at which a call's connection last broke; seconds.
     breaks_in_a_row : int
-        Broken calls since then; 0 once something came again.
+        Broken calls since data of a response last arrived.
     untold_breaks : int
-        Broken calls that the other VMs have not been told of.
+        Broken calls that this VM has not reported to other VMs yet.
     suspected_at : float
-        When calls of any VMs broke that make it suspected; seconds.
+        Time of the last broken call behind the suspicion; seconds.
     suspected_until : float
-        Until when it gets no work because of that; seconds.
+        Time until which it gets no work for that reason; seconds.
     """
 
     concurrency: int
@@ -68,9 +70,9 @@
     failures: int = 0
     suspended_until: float = 0.0
     pace: float = 0.0
-    paced_at: float = -math.inf
-    others: int = 0
-    others_at: float = -math.inf
+    pace_updated_at: float = -math.inf
+    peer_calls: int = 0
+    peer_calls_at: float = -math.inf
     answered_at: float = -math.inf
     broken_at: float = -math.inf
     breaks_in_a_row: int = 0
@@ -80,7 +82,7 @@
 
     @property
     def load(self) -> float:
-        """Share of the upstream's room that this VM uses, from 0 to 1."""
+        """This VM's calls as a share of ``concurrency``."""
         return self.in_flight / self.concurrency
 
     def accepts(self, now: float) -> bool:
@@ -89,11 +91,11 @@
         return not self.leaving and now >= free_at
 
     def has_room(self, now: float) -> bool:
-        """Return whether one more call fits now."""
+        """Return whether it may get one more call now."""
         return self.accepts(now) and self.in_flight < self.concurrency
 
     def note_failure(self, now: float) -> None:
-        """Count a failed call; suspend the upstream when they repeat."""
+        """Count a failed call; suspend the upstream after repeated ones."""
         self.failures += 1
         if self.failures < FAILURES_TO_SUSPEND:
             return
@@ -102,20 +104,21 @@
         self.suspended_until = now + min(pause, LONGEST_SUSPENSION_SECONDS)
 
     def suspend(self, now: float, seconds: float) -> None:
-        """Send no work for a while, whatever the failures so far."""
+        """Send no new work for at least ``seconds``."""
         self.suspended_until = max(self.suspended_until, now + seconds)
 
     def note_answer(self, now: float) -> None:
-        """Take note that anything of an answer came."""
+        """Record that data of a response arrived."""
         self.answered_at = now
         self.breaks_in_a_row = 0
 
     def note_break(self, sent_at: float, now: float) -> None:
-        """Take note that a call's connection broke.
+        """Record that a call's connection broke.
 
-        The upstream gets no work for a while, unless something came from
-        it since the call was sent: then it is one call or one connection,
-        and not the upstream, until the next one breaks as well.
+        The upstream gets no work for a while, unless data of a response
+        arrived since the call was sent: in that case a single broken call
+        is blamed on its connection, and only a second one in a row on the
+        upstream.
 
         Examples
         --------
@@ -131,12 +134,12 @@
         self.broken_at = now
         self.untold_breaks += 1
         self.breaks_in_a_row += 1
-        in_a_row = self.breaks_in_a_row >= BREAKS_IN_A_ROW
+        in_a_row = self.breaks_in_a_row >= MIN_BREAKS_IN_A_ROW
         if in_a_row or self.answered_at <= sent_at:
-            self.suspend(now, _spread(SUSPECT_SECONDS))
+            self.suspend(now, _add_jitter(SUSPECT_SECONDS))
 
     def suspect(self, broken_at: float) -> None:
-        """Heed that calls of other VMs broke there, unless it answers here.
+        """Avoid a suspected upstream unless it answered this VM since.
 
         Examples
         --------
@@ -150,43 +153,45 @@
         """
         if broken_at > self.suspected_at:
             self.suspected_at = broken_at
-            self.suspected_until = broken_at + _spread(SUSPECT_SECONDS)
+            self.suspected_until = broken_at + _add_jitter(SUSPECT_SECONDS)
         if self.answered_at > broken_at:
             self.suspected_until = 0.0
 
     @property
     def contradicts_suspicion(self) -> bool:
-        """Whether it is suspected, and this VM has heard from it since."""
+        """Whether it is suspected but has answered this VM since."""
         is_suspected = math.isfinite(self.suspected_at)
         return is_suspected and self.answered_at > self.suspected_at
 
     def trust(self) -> None:
-        """Take note that it is not suspected any more."""
+        """Clear the suspicion."""
         self.suspected_at = -math.inf
         self.suspected_until = 0.0
 
     def note_pace(self, seconds: float, now: float) -> None:
-        """Take note of the pause between two events of a stream."""
+        """Add the seconds between two events of a stream to the pace."""
         if self.pace_trust(now):
-            seconds = self.pace + PACE_WEIGHT * (seconds - self.pace)
+            seconds = self.pace + PACE_SMOOTHING * (seconds - self.pace)
         self.pace = seconds
-        self.paced_at = now
+        self.pace_updated_at = now
 
     def pace_trust(self, now: float) -> float:
-        """Return how much the pace still says, from 0 to 1."""
-        return max(0.0, 1.0 - (now - self.paced_at) / PACE_SECONDS)
+        """Return the confidence in the pace by its age, from 0 to 1."""
+        return max(
+            0.0, 1.0 - (now - self.pace_updated_at) / PACE_VALID_SECONDS
+        )
 
     def note_others(self, calls: int, now: float) -> None:
-        """Take note of what other VMs have in flight there."""
-        self.others = calls
-        self.others_at = now
+        """Record how many calls other VMs have in flight there."""
+        self.peer_calls = calls
+        self.peer_calls_at = now
 
     def knows_others(self, now: float) -> bool:
-        """Return whether the other VMs' calls are known."""
-        return now - self.others_at < OTHERS_SECONDS
+        """Return whether the number of other VMs' calls is recent."""
+        return now - self.peer_calls_at < PEER_CALLS_VALID_SECONDS
 
     def calls_of_all(self, now: float) -> int:
-        """Return the calls in flight there, as far as known.
+        """Return the calls in flight there: own ones and known others.
 
         Examples
         --------
@@ -195,14 +200,14 @@
         >>> upstream.calls_of_all(now=0.5), upstream.calls_of_all(now=1.5)
         (6, 1)
         """
-        others = self.others if self.knows_others(now) else 0
-        return self.in_flight + others
+        peer_calls = self.peer_calls if self.knows_others(now) else 0
+        return self.in_flight + peer_calls
 
     def note_success(self) -> None:
-        """Count a call that was answered."""
+        """Reset the count of failures after a successful call."""
         self.failures = 0
 
 
-def _spread(seconds: float) -> float:
-    """Return up to twice a time, another one for each VM."""
+def _add_jitter(seconds: float) -> float:
+    """Return the seconds times a random factor from 1 to 2."""
     return seconds * (1.0 + random.random())
--- a/postspring/upstreams/state.py
+++ b/postspring/upstreams/state.py
@@ -1,4 +1,4 @@
-"""What a VM knows of one configured upstream."""
+"""State of an upstream that the configuration lists."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class UpstreamState(load_module.UpstreamLoad):
-    """One upstream: what is configured, and what was observed of it."""
+    """Configured attributes of an upstream and its observed load."""
 
     id: str
     kind: configuration.UpstreamKind
@@ -28,7 +28,7 @@
     def of(
         cls, name: str, configured: configuration.Upstream
     ) -> UpstreamState:
-        """Return the state of an upstream that nothing is known of yet."""
+        """Return the state of an upstream without any observations yet."""
         return cls(
             id=name,
             kind=configured.kind,
@@ -42,11 +42,11 @@
 
     @property
     def incarnation(self) -> str:
-        """What places are known by; here starts can't be told apart."""
+        """Key of placement and load: the id, as no start time is known."""
         return self.id
 
     def reconfigure(self, other: UpstreamState) -> None:
-        """Take over what is configured; keep what was observed."""
+        """Copy the configured attributes of ``other``; keep the load."""
         self.kind = other.kind
         self.data_center = other.data_center
         self.serves = other.serves
--- a/postspring/upstreams/suspicion.py
+++ b/postspring/upstreams/suspicion.py
@@ -1,16 +1,16 @@
-"""Which upstreams are probably dead, by what all VMs together saw of them.
-
-The pattern that it answers: many VMs before few upstreams, one of which
-crashes while its entry still stands.  Each VM that has not tried it yet loses
-a call that may not be repeated there, and the program with it; and a dead
-upstream has nothing in flight, so placement takes it for the freest.  In the
-model of 195 VMs and 31 upstreams, four of them dead, VMs that tell each other
-lose less than a third of the calls (tests/test_suspicion.py).
-
-Calls whose connection broke are told among the VMs of a data centre, and
-among the data centres; streams that were under way are the first.  Two of
-them make an upstream suspected, unless anybody heard from it after the later
-one; whoever did says so.
+"""Failure detector that combines the observations of all VMs.
+
+It is made for many VMs that send to few upstreams, one of which crashes while
+its entry is still in the log.  Without an exchange, each VM that has not tried
+that upstream yet loses a call that must not be repeated, and the program with
+it; placement even prefers a crashed upstream, as it has no calls in flight.
+In a model of 195 VMs and 31 upstreams, four of them crashed, the exchange
+keeps the lost calls below a third (tests/test_suspicion.py).
+
+VMs report calls whose connection broke within their data centre and between
+data centres; the first reports come from streams in progress.  Two broken
+calls make an upstream suspected, unless a VM received data from it after the
+later one; such a VM reports that too.
 """
 
 import dataclasses
@@ -21,19 +21,19 @@
 
 __all__ = ["Sighting", "SuspicionBoard"]
 
-# For how long a broken call says something, in seconds: as long as a report
-# of loads does.
-SIGHTING_SECONDS = 0.7
-# So many broken calls without an answer after them make a suspicion.  A
-# single lost answer is not taken for a crash.
-BREAKS = 2
-# For how long it is remembered that calls broke, in seconds: as long as any
-# VM may leave the upstream alone for it.
-MEMORY_SECONDS = 2 * load_module.SUSPECT_SECONDS
+# Broken calls further apart than this aren't added up, in seconds: a report of
+# loads is valid for as long.
+BREAK_WINDOW_SECONDS = 0.7
+# Broken calls, with no response after them, that make an upstream suspected.
+# A single lost response is no sign of a crash.
+MIN_BROKEN_CALLS = 2
+# How long observations are kept, in seconds: as long as any VM may avoid a
+# suspected upstream.
+RETENTION_SECONDS = 2 * load_module.SUSPECT_SECONDS
 
 
 class Sighting(NamedTuple):
-    """What somebody saw of an upstream.
+    """One VM's observation of an upstream.
 
     Parameters
     ==========
@@ -41,9 +41,9 @@
     upstream : str
         Incarnation of the upstream.
     age : float
-        Seconds since then.
+        Seconds since the observation.
     breaks : int
-        Calls whose connection broke; 0: something came from it.
+        Calls whose connection broke; 0 if data arrived from the upstream.
     """
 
     upstream: str
@@ -52,14 +52,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Record:
+class _ConnectionRecord:
     breaks: int = 0
     broken_at: float = -math.inf
     answered_at: float = -math.inf
 
 
 class SuspicionBoard:
-    """Adds sightings up.
+    """Counts broken calls by upstream and names the suspected upstreams.
 
     Examples
     ========
@@ -77,37 +77,37 @@
     """
 
     def __init__(self):
-        self._record_by_upstream: dict[str, _Record] = {}
+        self._record_by_upstream: dict[str, _ConnectionRecord] = {}
 
     def take(self, sighting: Sighting, now: float) -> None:
-        """Take what somebody saw."""
+        """Add an observation, made ``sighting.age`` seconds before now."""
         record = self._record_by_upstream.setdefault(
-            sighting.upstream, _Record()
+            sighting.upstream, _ConnectionRecord()
         )
-        at = now - sighting.age
+        observed_at = now - sighting.age
         if not sighting.breaks:
-            record.answered_at = max(record.answered_at, at)
-            if at > record.broken_at:
+            record.answered_at = max(record.answered_at, observed_at)
+            if observed_at > record.broken_at:
                 record.breaks = 0
             return
-        if at <= record.answered_at:
+        if observed_at <= record.answered_at:
             return
-        if at - record.broken_at > SIGHTING_SECONDS:
+        if observed_at - record.broken_at > BREAK_WINDOW_SECONDS:
             record.breaks = 0
         record.breaks += sighting.breaks
-        record.broken_at = max(record.broken_at, at)
+        record.broken_at = max(record.broken_at, observed_at)
 
     def suspects(self, now: float) -> dict[str, float]:
-        """Return when calls last broke at those that are suspected."""
-        self._forget(now)
+        """Return the time of the last broken call by suspected upstream."""
+        self._discard_expired(now)
         return {
             upstream: record.broken_at
             for upstream, record in self._record_by_upstream.items()
-            if record.breaks >= BREAKS
+            if record.breaks >= MIN_BROKEN_CALLS
         }
 
-    def _forget(self, now: float) -> None:
-        oldest = now - MEMORY_SECONDS
+    def _discard_expired(self, now: float) -> None:
+        oldest = now - RETENTION_SECONDS
         self._record_by_upstream = {
             upstream: record
             for upstream, record in self._record_by_upstream.items()
--- a/postspring/upstreams/tests/test_directory.py
+++ b/postspring/upstreams/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory of upstreams."""
+"""Tests of the directory of upstreams."""
 
 import unittest
 
@@ -6,60 +6,60 @@
 
 
 class DirectoryCase(unittest.TestCase):
-    """A directory whose clock is set by hand."""
+    """Fixture: a directory with a clock that tests advance."""
 
     def setUp(self):
         self.now = 100.0
-        self.gone = []
+        self.retired = []
         self.directory = upstreams.Directory(
-            lambda: self.now, lambda upstream: self.gone.append(upstream.id)
+            lambda: self.now, lambda upstream: self.retired.append(upstream.id)
         )
 
-    def announce(self, name, place="here", **other):
-        """Let an upstream announce itself."""
+    def announce(self, upstream_id, data_center="here", **fields):
+        """Apply an entry of an upstream, and return it."""
         entry = upstreams.Announcement(
-            id=name,
+            id=upstream_id,
             service="s",
             address=("10.0.0.1", 80),
-            data_center=place,
-            **other,
+            data_center=data_center,
+            **fields,
         )
         self.directory.announce(entry)
         return entry
 
     def usable(self):
-        """Return the ids of the upstreams that may get work."""
+        """Return the ids of the upstreams that may get new work."""
         return sorted(item.id for item in self.directory.usable("s"))
 
 
 class LeavingTest(DirectoryCase):
-    """Leaving and gone upstreams get nothing."""
+    """Upstreams that are leaving or were removed get no new work."""
 
-    def test_an_announced_one_is_used(self):
+    def test_an_announced_upstream_is_usable(self):
         self.announce("a")
         self.assertEqual(["a"], self.usable())
 
-    def test_a_leaving_one_is_not(self):
+    def test_a_leaving_upstream_is_not_usable(self):
         self.announce("a")
         self.announce("a", leaving=True)
         self.assertEqual([], self.usable())
-        self.assertEqual(["a"], self.gone)
+        self.assertEqual(["a"], self.retired)
 
-    def test_a_withdrawn_one_is_gone(self):
+    def test_a_withdrawn_upstream_is_removed(self):
         self.announce("a")
         self.directory.withdraw("a")
         self.assertEqual([], self.usable())
-        self.assertEqual(["a"], self.gone)
+        self.assertEqual(["a"], self.retired)
 
-    def test_what_is_not_in_the_whole_list_is_gone(self):
+    def test_replace_all_removes_upstreams_without_an_entry(self):
         self.announce("a")
         entry = self.announce("b")
         self.directory.replace_all([entry])
         self.assertEqual(["b"], self.usable())
 
 
-class ReturnTest(DirectoryCase):
-    """Entries that lapsed while the log was away."""
+class MissingEntryTest(DirectoryCase):
+    """Entries that expired during an outage of the log."""
 
     def setUp(self):
         super().setUp()
@@ -67,62 +67,62 @@
         self.directory.tolerate_missing(self.now + 2.0)
         self.directory.withdraw("a")
 
-    def test_a_missing_one_is_used_for_a_while(self):
+    def test_it_is_usable_in_the_grace_period(self):
         self.directory.drop_missing()
         self.assertEqual(["a"], self.usable())
 
-    def test_it_may_come_back(self):
+    def test_a_new_entry_keeps_it(self):
         self.announce("a")
         self.now += 10
         self.directory.drop_missing()
         self.assertEqual(["a"], self.usable())
 
-    def test_it_gets_no_work_from_that_moment_on(self):
-        # What forgets it runs now and then, and came up to 0.5 s late.
+    def test_it_gets_no_work_once_the_grace_period_ends(self):
+        # The periodic removal runs up to 0.5 s later.
         self.now += 2.0
         self.assertEqual([], self.usable())
         self.assertEqual([], self.directory.last_resort("s"))
 
-    def test_then_it_is_gone(self):
+    def test_it_is_removed_after_the_grace_period(self):
         self.now += 2.0
         self.directory.drop_missing()
         self.assertEqual([], self.usable())
 
 
 class UnreachableTest(DirectoryCase):
-    """Machines that do not acknowledge."""
+    """Machines that do not acknowledge packets."""
 
     def setUp(self):
         super().setUp()
-        for name in ("a", "b", "c"):
-            self.announce(name, "there")
+        for upstream_id in ("a", "b", "c"):
+            self.announce(upstream_id, "there")
         self.announce("d")
 
-    def unreachable(self, name):
-        """Report an upstream's machine as silent."""
-        upstream = self.directory.by_id[name]
+    def note_unreachable(self, upstream_id):
+        """Report an upstream's machine as unreachable."""
+        upstream = self.directory.by_id[upstream_id]
         self.directory.note_unreachable(upstream)
 
-    def test_one_is_left_alone(self):
-        self.unreachable("a")
+    def test_one_unreachable_upstream_gets_no_work(self):
+        self.note_unreachable("a")
         self.assertEqual(["b", "c", "d"], self.usable())
 
-    def test_two_mean_that_the_data_centre_is_cut_off(self):
-        self.unreachable("a")
-        self.unreachable("b")
+    def test_two_suspend_their_whole_data_centre(self):
+        self.note_unreachable("a")
+        self.note_unreachable("b")
         self.assertEqual(["d"], self.usable())
         self.assertFalse(self.directory.is_out_of_reach("s"))
 
-    def test_they_are_used_again(self):
-        self.unreachable("a")
-        self.unreachable("b")
+    def test_they_are_usable_again_after_a_while(self):
+        self.note_unreachable("a")
+        self.note_unreachable("b")
         self.now += 2
         self.assertEqual(["a", "b", "c", "d"], self.usable())
 
-    def test_with_all_out_of_reach_one_is_tried_now_and_then(self):
+    def test_with_all_unreachable_one_is_probed_at_an_interval(self):
         self.directory.withdraw("d")
-        self.unreachable("a")
-        self.unreachable("b")
+        self.note_unreachable("a")
+        self.note_unreachable("b")
         self.assertTrue(self.directory.is_out_of_reach("s"))
         self.assertEqual(1, len(self.directory.last_resort("s")))
         self.assertEqual([], self.directory.last_resort("s"))
@@ -130,8 +130,8 @@
         self.assertEqual(1, len(self.directory.last_resort("s")))
 
 
-class StartedAgainTest(DirectoryCase):
-    """An upstream that starts again under its id knows nothing of before."""
+class RestartTest(DirectoryCase):
+    """An upstream that restarts under its id has lost its state."""
 
     def setUp(self):
         super().setUp()
@@ -143,44 +143,44 @@
 
     @property
     def current(self):
-        """What is known of the upstream now."""
+        """The current incarnation."""
         return self.directory.by_id["a"]
 
-    def test_what_was_observed_ends_with_the_start(self):
+    def test_a_restart_discards_the_observations(self):
         self.announce("a", born=2000)
         self.assertEqual(["a"], self.usable())
         self.assertEqual(0, self.current.in_flight)
         self.assertEqual(0.0, self.current.pace)
-        self.assertEqual(["a"], self.gone)
+        self.assertEqual(["a"], self.retired)
 
-    def test_a_call_that_is_still_open_counts_for_the_former_start(self):
+    def test_a_call_in_flight_counts_for_the_former_incarnation(self):
         self.announce("a", born=2000)
         self.former.in_flight -= 1
         self.assertEqual(0, self.current.in_flight)
 
-    def test_places_and_loads_are_not_mixed_up(self):
+    def test_incarnations_have_different_keys(self):
         self.announce("a", born=2000)
         self.assertNotEqual(self.former.incarnation, self.current.incarnation)
 
-    def test_the_same_start_keeps_what_was_observed(self):
+    def test_the_same_incarnation_keeps_the_observations(self):
         self.announce("a", born=1000, slots=9)
         self.assertIs(self.former, self.current)
         self.assertEqual(9, self.current.concurrency)
 
-    def test_a_late_entry_of_the_former_start_changes_nothing(self):
+    def test_a_late_entry_of_the_former_incarnation_is_ignored(self):
         self.announce("a", born=2000)
         latest = self.current
         self.announce("a", born=1000, leaving=True)
         self.assertIs(latest, self.current)
         self.assertEqual(["a"], self.usable())
 
-    def test_it_does_not_bring_a_gone_one_back(self):
+    def test_a_late_entry_does_not_restore_a_removed_upstream(self):
         self.announce("a", born=2000)
         self.directory.withdraw("a")
         self.announce("a", born=1000)
         self.assertEqual([], self.usable())
 
-    def test_an_older_start_that_alone_goes_on_writing_counts(self):
+    def test_an_earlier_start_time_counts_if_the_later_one_is_silent(self):
         # The machine's clock was set back between the two starts.
         self.announce("a", born=2000)
         for _ in range(12):
@@ -188,13 +188,13 @@
             self.announce("a", born=1500)
         self.assertEqual(1500, self.current.born)
 
-    def test_starts_of_gone_ones_are_forgotten(self):
+    def test_start_times_of_removed_upstreams_are_discarded(self):
         self.directory.withdraw("a")
         self.now += 11
         self.directory.drop_missing()
         self.assertEqual({}, self.directory._latest_by_id)
 
-    def test_another_address_or_service_is_another_start(self):
+    def test_another_address_means_another_incarnation(self):
         self.announce("b")
         former = self.directory.by_id["b"]
         entry = upstreams.Announcement("b", "s", ("10.0.0.7", 81))
@@ -203,8 +203,8 @@
         self.assertTrue(former.leaving)
 
 
-class HeldBackTest(DirectoryCase):
-    """Entries that name no upstream, in place of good ones."""
+class InvalidEntryTest(DirectoryCase):
+    """Invalid entries in place of valid ones."""
 
     def setUp(self):
         super().setUp()
@@ -212,32 +212,32 @@
         self.announce("b", born=1000)
         self.upstream = self.directory.by_id["a"]
 
-    def test_it_gets_no_new_work_and_is_not_gone(self):
+    def test_it_gets_no_new_work_but_is_not_removed(self):
         self.directory.hold_back("a")
         self.assertEqual(["b"], self.usable())
-        self.assertEqual([], self.gone)
+        self.assertEqual([], self.retired)
 
-    def test_nor_as_a_last_resort(self):
-        for name in ("a", "b"):
-            self.directory.hold_back(name)
+    def test_it_is_no_last_resort_either(self):
+        for upstream_id in ("a", "b"):
+            self.directory.hold_back(upstream_id)
         self.assertEqual([], self.directory.last_resort("s"))
 
-    def test_a_good_entry_makes_it_usable_again(self):
+    def test_a_valid_entry_makes_it_usable_again(self):
         self.directory.hold_back("a")
         self.announce("a", born=1000)
         self.assertEqual(["a", "b"], self.usable())
         self.assertIs(self.upstream, self.directory.by_id["a"])
 
-    def test_an_entry_without_its_start_is_another_writers(self):
+    def test_an_entry_without_the_start_time_is_invalid(self):
         self.announce("a")
         self.assertEqual(["b"], self.usable())
 
-    def test_an_unknown_one_is_nothing(self):
+    def test_an_unknown_upstream_is_ignored(self):
         self.directory.hold_back("c")
         self.assertEqual(["a", "b"], self.usable())
 
-    def test_in_a_whole_list_it_is_held_back_and_not_gone(self):
+    def test_replace_all_does_not_remove_it(self):
         entry = self.announce("b", born=1000)
         self.directory.replace_all([entry], ["a"])
         self.assertEqual(["b"], self.usable())
-        self.assertEqual([], self.gone)
+        self.assertEqual([], self.retired)
--- a/postspring/upstreams/tests/test_suspicion.py
+++ b/postspring/upstreams/tests/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Dead upstreams, by what all VMs together saw of them."""
+"""Tests of the failure detector that combines all VMs' observations."""
 
 import random
 import unittest
@@ -7,77 +7,77 @@
 
 
 class SuspicionBoardTest(unittest.TestCase):
-    """Sightings are added up."""
+    """Observations of broken calls and of responses are combined."""
 
     def setUp(self):
         self.board = upstreams.SuspicionBoard()
 
-    def take(self, at, breaks=1, age=0.0):
-        """Take a sighting at a moment."""
-        self.board.take(upstreams.Sighting("u", age, breaks), at)
+    def observe(self, now, breaks=1, age=0.0):
+        """Add an observation that arrives at a given time."""
+        self.board.take(upstreams.Sighting("u", age, breaks), now)
 
-    def test_one_broken_call_is_no_crash(self):
-        self.take(1.0)
+    def test_one_broken_call_raises_no_suspicion(self):
+        self.observe(1.0)
         self.assertEqual({}, self.board.suspects(1.0))
 
-    def test_two_are(self):
-        self.take(1.0)
-        self.take(1.2)
+    def test_two_broken_calls_raise_one(self):
+        self.observe(1.0)
+        self.observe(1.2)
         self.assertEqual({"u": 1.2}, self.board.suspects(1.2))
 
-    def test_two_far_apart_are_not(self):
-        self.take(1.0)
-        self.take(1.8)
+    def test_two_broken_calls_far_apart_do_not(self):
+        self.observe(1.0)
+        self.observe(1.8)
         self.assertEqual({}, self.board.suspects(1.8))
 
-    def test_whoever_heard_from_it_later_clears_it(self):
-        self.take(1.0, breaks=3)
-        self.take(1.3, breaks=0, age=0.1)
+    def test_a_later_response_clears_the_suspicion(self):
+        self.observe(1.0, breaks=3)
+        self.observe(1.3, breaks=0, age=0.1)
         self.assertEqual({}, self.board.suspects(1.3))
 
-    def test_an_older_answer_does_not(self):
-        self.take(1.0, breaks=3)
-        self.take(1.3, breaks=0, age=0.5)
+    def test_an_earlier_response_does_not(self):
+        self.observe(1.0, breaks=3)
+        self.observe(1.3, breaks=0, age=0.5)
         self.assertEqual({"u": 1.0}, self.board.suspects(1.3))
 
-    def test_breaks_before_an_answer_say_nothing(self):
-        self.take(1.0, breaks=0)
-        self.take(1.1, breaks=3, age=0.2)
+    def test_broken_calls_before_a_response_do_not_count(self):
+        self.observe(1.0, breaks=0)
+        self.observe(1.1, breaks=3, age=0.2)
         self.assertEqual({}, self.board.suspects(1.1))
 
-    def test_it_is_forgotten(self):
-        self.take(1.0, breaks=3)
+    def test_old_observations_are_discarded(self):
+        self.observe(1.0, breaks=3)
         self.assertEqual({}, self.board.suspects(3.1))
         self.assertEqual({}, self.board._record_by_upstream)
 
 
-class HeedTest(unittest.TestCase):
-    """What a VM makes of it."""
+class SuspensionTest(unittest.TestCase):
+    """A VM sends no new work to an upstream that broke calls."""
 
     def setUp(self):
         self.upstream = upstreams.UpstreamLoad(concurrency=6)
 
-    def test_a_break_leaves_a_silent_upstream_alone(self):
+    def test_a_broken_call_suspends_a_silent_upstream(self):
         self.upstream.note_break(sent_at=1.0, now=1.01)
         self.assertFalse(self.upstream.accepts(1.9))
         self.assertTrue(self.upstream.accepts(3.1))
 
-    def test_not_one_that_answers_others(self):
+    def test_it_does_not_suspend_one_that_answered_meanwhile(self):
         self.upstream.note_answer(1.005)
         self.upstream.note_break(sent_at=1.0, now=1.01)
         self.assertTrue(self.upstream.accepts(1.02))
 
-    def test_a_suspected_one_is_left_alone_and_tried_again(self):
+    def test_a_suspected_upstream_is_avoided_for_a_while(self):
         self.upstream.suspect(broken_at=1.0)
         self.assertFalse(self.upstream.accepts(1.9))
         self.assertTrue(self.upstream.accepts(3.0))
 
-    def test_what_this_vm_heard_later_counts_more(self):
+    def test_a_later_response_to_this_vm_overrides_the_suspicion(self):
         self.upstream.note_answer(1.2)
         self.upstream.suspect(broken_at=1.0)
         self.assertTrue(self.upstream.accepts(1.2))
 
-    def test_told_again_it_is_not_left_alone_for_longer(self):
+    def test_a_repeated_report_does_not_extend_the_suspension(self):
         self.upstream.suspect(broken_at=1.0)
         until = self.upstream.suspected_until
         self.upstream.suspect(broken_at=1.0)
@@ -85,54 +85,56 @@
 
 
 class CrashModelTest(unittest.TestCase):
-    """The load that it answers: 195 VMs, and four of 31 engines crash.
+    """Model of 195 VMs and 31 engines, four of which have crashed.
 
-    Each VM sends 1.3 turns a second, and prefers engines with few calls in
-    flight: a dead one has none.  Reports come five times a second, each VM
-    at another moment; what is suspected is told with the next answer.
+    The VMs together send 250 turns a second, 1.3 each, and prefer engines with
+    few calls in flight: a crashed one has none.  Each VM reports five times a
+    second, at a phase of its own, and gets the suspected engines in response.
     """
 
-    VMS, ENGINES, DEAD = 195, 31, 4
+    VMS, ENGINES, CRASHED = 195, 31, 4
     TURNS_PER_SECOND = 250
     REPORT_SECONDS = 0.2
     SECONDS = 4.0
 
-    def lost_turns(self, seed, is_told):
-        """Return how many turns are lost at dead engines."""
-        draw = random.Random(seed)
+    def lost_turns(self, seed, exchanges_reports):
+        """Return how many turns are lost at crashed engines."""
+        rng = random.Random(seed)
         board = upstreams.SuspicionBoard()
-        loads = [
+        loads_by_vm = [
             [
                 upstreams.UpstreamLoad(concurrency=6)
                 for _ in range(self.ENGINES)
             ]
             for _ in range(self.VMS)
         ]
-        phase = [draw.random() * self.REPORT_SECONDS for _ in loads]
+        next_report_at = [
+            rng.random() * self.REPORT_SECONDS for _ in loads_by_vm
+        ]
         lost = 0
         for step in range(int(self.SECONDS * self.TURNS_PER_SECOND)):
             now = 100.0 + step / self.TURNS_PER_SECOND
-            vm = draw.randrange(self.VMS)
+            vm = rng.randrange(self.VMS)
             engines = [
                 engine
                 for engine in range(self.ENGINES)
-                if loads[vm][engine].accepts(now)
+                if loads_by_vm[vm][engine].accepts(now)
             ]
-            engine = min(draw.sample(engines, 3))
-            if engine < self.DEAD:
+            engine = min(rng.sample(engines, 3))
+            if engine < self.CRASHED:
                 lost += 1
-                loads[vm][engine].note_break(now, now)
+                loads_by_vm[vm][engine].note_break(now, now)
             else:
-                loads[vm][engine].note_answer(now)
-            if is_told:
-                self._report(board, loads, phase, now)
+                loads_by_vm[vm][engine].note_answer(now)
+            if exchanges_reports:
+                self._report(board, loads_by_vm, next_report_at, now)
         return lost
 
-    def _report(self, board, loads, phase, now):
-        for vm, upstream_loads in enumerate(loads):
-            if now < phase[vm]:
+    def _report(self, board, loads_by_vm, next_report_at, now):
+        for vm, upstream_loads in enumerate(loads_by_vm):
+            if now < next_report_at[vm]:
                 continue
-            phase[vm] = now + self.REPORT_SECONDS
+            next_report_at[vm] = now + self.REPORT_SECONDS
             for engine, load in enumerate(upstream_loads):
                 if load.untold_breaks:
                     age = now - load.broken_at
@@ -144,7 +146,9 @@
                 if str(engine) in suspects:
                     load.suspect(suspects[str(engine)])
 
-    def test_few_turns_are_lost_where_each_vm_lost_its_own(self):
-        alone = [self.lost_turns(seed, False) for seed in range(3)]
-        told = [self.lost_turns(seed, True) for seed in range(3)]
-        self.assertGreater(min(alone), 3 * max(told), (alone, told))
+    def test_reports_cut_the_lost_turns_to_less_than_a_third(self):
+        without = [self.lost_turns(seed, False) for seed in range(3)]
+        reported = [self.lost_turns(seed, True) for seed in range(3)]
+        self.assertGreater(
+            min(without), 3 * max(reported), (without, reported)
+        )
