--- a/postspring/keyedlog/__init__.py
+++ b/postspring/keyedlog/__init__.py
@@ -1,4 +1,4 @@
-"""Keyed log: partitions of keyed records, and how they are followed."""
+"""Keyed log: its interface, and a follower that reads a partition."""
 
 from postspring.keyedlog.errors import KeyedLogError
 from postspring.keyedlog.errors import LogBusy
--- a/postspring/keyedlog/errors.py
+++ b/postspring/keyedlog/errors.py
@@ -17,20 +17,21 @@
     Attributes
     ----------
     shows_away : bool
-        Whether the log was away, or this VM cut off from it, when the call
-        was made: it was asked and did not answer.
+        Whether the error shows that the log was unavailable to this VM when
+        the call was made: the call was sent, and the log did not respond or
+        failed.
     """
 
     shows_away = False
 
 
 class LogUnavailable(KeyedLogError):
-    """The log did not answer, or refused; an append may still happen.
+    """The log did not respond, or failed; an append may still take effect.
 
     Parameters
     ----------
     reason : str
-        A short word for counters.
+        Short name of the cause.
     """
 
     shows_away = True
@@ -41,16 +42,16 @@
 
 
 class LogBusy(LogUnavailable):
-    """The log gets more calls than it takes; this one was not done."""
+    """The log refused the call because of too many calls; it has no effect."""
 
     shows_away = False
 
 
 class LogDown(LogUnavailable):
-    """The log did not answer lately, so the call was not made."""
+    """The call was not made, as the log has not responded lately."""
 
     shows_away = False
 
 
 class LogExpired(KeyedLogError):
-    """The records that were asked for have expired."""
+    """The requested records have expired."""
--- a/postspring/keyedlog/follower.py
+++ b/postspring/keyedlog/follower.py
@@ -1,4 +1,4 @@
-"""Follows a partition: all there is, then what is added."""
+"""Follower of a partition: reads its state, then the records added."""
 
 from collections.abc import Callable
 import logging
@@ -13,11 +13,12 @@
 
 LOG = logging.getLogger(__name__)
 
-# Pause after a failed call, in seconds, and after a read that was meant to
-# wait and did not: another VM reads without.
+# Delay after a failed call, in seconds, and after a read that returned without
+# the wait it asked for: another VM that reads for this one does not wait.
 RETRY_SECONDS = 0.3
-# Pauses after a busy log refused a read, the first, the second and so on; in
-# seconds.  What is read has a bound, and such reads are few.
+# Delays after the first, second and third read in a row that a busy log
+# refuses, in seconds.  They are short because the age of a view is bounded and
+# such reads are few.
 BUSY_RETRY_SECONDS = (0.1, 0.15, 0.2)
 
 
@@ -25,23 +26,24 @@
 
 
 class Outage(NamedTuple):
-    """What a VM can tell of the time in which it could not read the log.
+    """Bounds on the time in which a VM could not read the log.
 
-    Not every call that failed shows that the log was away: one may not have
-    been made at all, or was refused as one too many.
+    Not every failed call shows that the log was unavailable: it may not have
+    been made at all, or a busy log refused it.
 
     Parameters
     ==========
 
     answered_at : float
-        When the last call that was answered before it was made; seconds.
+        Start of the last successful call before the outage; seconds.
     lost_at : float
-        When the first call that failed was made.
+        Start of the first failed call.
     away_at : float
-        When the last call was made that showed the log to be away: it may
-        have been back from then on.  Before the outage if there was none.
+        Start of the last call that showed the log to be unavailable: it may
+        have been available again from then on.  Before the outage if no call
+        showed that.
     regained_at : float
-        When a call was answered again.
+        When a call succeeded again.
 
     Examples
     ========
@@ -52,18 +54,18 @@
     """
 
     answered_at: float
-    lost_at: float
+    failed_at: float
     away_at: float
     regained_at: float
 
     @property
     def shortest(self) -> float:
-        """Seconds that it lasted at least; 0 if one call alone failed."""
-        return max(0.0, self.away_at - self.lost_at)
+        """Minimum duration in seconds; 0 if a single call failed."""
+        return max(0.0, self.away_at - self.failed_at)
 
     @property
     def longest(self) -> float:
-        """Seconds that it lasted at most."""
+        """Maximum duration in seconds."""
         return self.regained_at - self.answered_at
 
 
@@ -73,27 +75,28 @@
     Explanation
     ===========
 
-    A follower that silently stops would look like a bad policy, so it says
-    how old its view is, and when it lost and regained the log.
+    Decisions on an outdated view would look like those of a bad policy.  So
+    the follower exposes the age of its view, and logs when the log becomes
+    unavailable and available again.
 
     Parameters
     ==========
 
     pace : callable
-        Returns the least seconds between two reads: each call is paid for,
-        and records of no interest end a waiting read as well.
+        Returns the minimum seconds between two reads: each call is paid for,
+        and irrelevant records end a waiting read too.
     wait : callable
-        Returns the seconds that a read waits for a record.
+        Returns the seconds for which a read waits for a record.
     on_reset : callable
-        Called with the newest record of each key, which is all there is.
+        Called with the newest record of each key, which replace all others.
     on_entries : callable
-        Called with what was added since.
+        Called with the records added since.
     on_regained : callable
-        Called with the outage when the log answers again, before the
-        records that were read.
+        Called with the outage when a read succeeds again, before its records
+        are applied.
     ask_others : callable, optional
-        Asks other VMs for their view while the log does not answer; called
-        with the place and who takes a page.
+        Requests the views of other VMs if a read fails while this VM has no
+        view; called with the place and a callback for a page.
     """
 
     def __init__(
@@ -108,133 +111,140 @@
         on_regained: Callable[[Outage], None] = lambda outage: None,
         ask_others: AskOthers = lambda place, on_page: None,
     ):
-        self._ask_others = ask_others
+        self._request_view = ask_others
         self._newest_by_key: dict[str, ports.LogEntry] = {}
         self._log = log
         self._timers = timers
         self._place = place
         self._on_reset = on_reset
         self._on_entries = on_entries
-        self._on_regained = on_regained
-        self._pace = pace
+        self._on_recovered = on_regained
+        self._read_interval = pace
         self._wait = wait
-        self._next: int | None = None
-        self._round = 0
+        self._next_offset: int | None = None
+        self._read_number = 0
         self._sent_at = timers.now()
         self._may_wait = True
-        self._asked = 0.0
-        # What another VM told does not count: it may be of any age.
+        self._wait_seconds = 0.0
+        # Another VM's view does not count here: it may be of any age.
         self.fresh_at = -math.inf
         self._confirmed_at = -math.inf
         self._confirmed_end = -1
         self.lost_since: float | None = None
         self._answered_at = timers.now()
-        self._lost_at = timers.now()
-        self._away_at = -math.inf
-        # Reads in a row that a busy log refused.
-        self._refusals = 0
+        self._failed_at = timers.now()
+        self._unavailable_at = -math.inf
+        # Number of reads in a row that a busy log refused.
+        self._busy_responses = 0
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Begin to follow the partition."""
         self._read()
 
     def read_now(self) -> None:
-        """Drop a read that may hang, and read at once."""
+        """Abandon a pending read, which may hang, and read at once."""
         self._read()
 
     @property
     def age(self) -> float:
-        """Seconds since when records may be missing here.
+        """Seconds since the view was known to be complete.
 
-        Counted from when the log was asked, or had waited in vain; without
-        end while it has not answered yet.
+        Counted from the start of a read, or from the end of a wait that
+        brought no records; infinite until the log has responded.
         """
         return self._timers.now() - self.fresh_at
 
     @property
     def confirmed_age(self) -> float:
-        """Seconds since the start of the last call that found nothing more.
+        """Seconds since the start of the last read that reached the end.
 
-        Without end while there was none.  That a call waited in vain counts
-        for nothing here: only its start is certain to lie before whatever
-        it did not find.
+        Infinite if there was none.  The time for which a read waited for
+        records is not taken into account here: only its start certainly
+        precedes each record that it did not find.
         """
         return self._timers.now() - self._confirmed_at
 
     @property
     def confirmed_end(self) -> int:
-        """Offset at which the records ended then; -1 if there was none."""
+        """Offset of the end that this read reached; -1 if there was none."""
         return self._confirmed_end
 
     def note_confirmed(self, end: int, at: float) -> None:
-        """Take note that the log confirmed to another VM where it ends.
+        """Apply another VM's confirmation of the partition's end.
 
         Parameters
         ----------
         end : int
-            Behind the last record.
+            Offset after the last record; negative without confirmation.
         at : float
-            Monotonic time of this VM that lies before that for certain.
+            Monotonic time of this VM that certainly precedes the start of
+            the other VM's read.
         """
-        knows_all = self._next is not None and self._next >= end
-        if end >= 0 and knows_all and at > self._confirmed_at:
+        has_all_records = (
+            self._next_offset is not None and self._next_offset >= end
+        )
+        if end >= 0 and has_all_records and at > self._confirmed_at:
             self._confirmed_at = at
             self._confirmed_end = end
 
     @property
     def view(self) -> ports.LogPage | None:
-        """The newest record of each key, as this VM knows them."""
-        if self._next is None:
+        """The newest record of each key, or None before the first read."""
+        if self._next_offset is None:
             return None
         entries = list(self._newest_by_key.values())
-        return ports.LogPage(entries, self._next, self._next)
+        return ports.LogPage(entries, self._next_offset, self._next_offset)
 
     # -- own ------------------------------------------------------------------
 
     def _read(self) -> None:
-        self._round += 1
+        self._read_number += 1
         self._sent_at = self._timers.now()
-        number = self._round
+        read_number = self._read_number
 
         def on_page(page: ports.LogPage) -> None:
-            if number == self._round:
-                self._take(page)
+            if read_number == self._read_number:
+                self._on_page(page)
 
         def on_error(error: errors.KeyedLogError) -> None:
-            if number == self._round:
-                self._failed(error)
+            if read_number == self._read_number:
+                self._on_error(error)
 
-        self._asked = 0.0
-        if self._next is None:
+        self._wait_seconds = 0.0
+        if self._next_offset is None:
             self._log.read_newest(self._place, on_page, on_error)
         else:
             can_wait = self._may_wait and self.lost_since is None
-            self._asked = self._wait() if can_wait else 0.0
+            self._wait_seconds = self._wait() if can_wait else 0.0
             self._log.read(
-                self._place, self._next, on_page, on_error, self._asked
+                self._place,
+                self._next_offset,
+                on_page,
+                on_error,
+                self._wait_seconds,
             )
 
-    def _take(self, page: ports.LogPage) -> None:
-        was_reset = self._next is None
-        self._next = page.next
+    def _on_page(self, page: ports.LogPage) -> None:
+        was_reset = self._next_offset is None
+        self._next_offset = page.next
         self._note_success(page)
-        # When records end a read that waited, nobody knows how late they
-        # were; the next read does not wait, so that the age stays low.
+        # If records end a waiting read, their delay on the way is unknown.
+        # The next read does not wait, so that the age stays low.
         self._may_wait = was_reset or not page.entries
-        self._keep(page, was_reset)
+        self._update_view(page, was_reset)
         if was_reset:
             self._on_reset(page.entries)
         elif page.entries:
             self._on_entries(page.entries)
-        behind = page.next < page.end
-        self._plan(0.0 if behind else self._pause(page))
+        is_behind = page.next < page.end
+        self._schedule_read(0.0 if is_behind else self._read_delay(page))
 
-    def _pause(self, page: ports.LogPage) -> float:
-        if page.entries or page.known_after >= self._asked:
-            return self._pace()
-        return max(self._pace(), RETRY_SECONDS)
+    def _read_delay(self, page: ports.LogPage) -> float:
+        if page.entries or page.known_after >= self._wait_seconds:
+            return self._read_interval()
+        return max(self._read_interval(), RETRY_SECONDS)
 
-    def _keep(self, page: ports.LogPage, was_reset: bool) -> None:
+    def _update_view(self, page: ports.LogPage, was_reset: bool) -> None:
         if was_reset:
             self._newest_by_key.clear()
         for entry in page.entries:
@@ -243,12 +253,12 @@
             else:
                 self._newest_by_key.pop(entry.key, None)
 
-    def _take_view(self, page: ports.LogPage) -> None:
-        """Begin with another VM's view: the log has not answered yet."""
-        if self._next is not None:
+    def _on_view(self, page: ports.LogPage) -> None:
+        """Start from another VM's view unless there is a view already."""
+        if self._next_offset is not None:
             return
-        self._next = page.next
-        self._keep(page, was_reset=True)
+        self._next_offset = page.next
+        self._update_view(page, was_reset=True)
         LOG.info(
             "view of another VM",
             extra={
@@ -258,15 +268,15 @@
         )
         self._on_reset(page.entries)
 
-    def _failed(self, error: errors.KeyedLogError) -> None:
+    def _on_error(self, error: errors.KeyedLogError) -> None:
         if isinstance(error, errors.LogExpired):
-            self._next = None
-            self._plan(0.0)
+            self._next_offset = None
+            self._schedule_read(0.0)
             return
         if error.shows_away:
-            self._away_at = self._sent_at
+            self._unavailable_at = self._sent_at
         if self.lost_since is None:
-            self._lost_at = self._sent_at
+            self._failed_at = self._sent_at
             self.lost_since = self._timers.now()
             LOG.warning(
                 "log lost",
@@ -275,27 +285,29 @@
                     "reason": str(error),
                 },
             )
-        if self._next is None:
-            self._ask_others(self._place, self._take_view)
-        self._plan(self._pause_after(error))
+        if self._next_offset is None:
+            self._request_view(self._place, self._on_view)
+        self._schedule_read(self._retry_delay(error))
 
-    def _pause_after(self, error: errors.KeyedLogError) -> float:
-        """Return the seconds until a read that failed is made again."""
+    def _retry_delay(self, error: errors.KeyedLogError) -> float:
+        """Return the seconds after which a failed read is retried."""
         if not isinstance(error, errors.LogBusy):
-            self._refusals = 0
+            self._busy_responses = 0
             return RETRY_SECONDS
-        pauses = BUSY_RETRY_SECONDS[self._refusals :]
-        self._refusals += 1
-        return pauses[0] if pauses else RETRY_SECONDS
+        delays = BUSY_RETRY_SECONDS[self._busy_responses :]
+        self._busy_responses += 1
+        return delays[0] if delays else RETRY_SECONDS
 
     def _note_success(self, page: ports.LogPage) -> None:
         now = self._timers.now()
-        self._refusals = 0
+        self._busy_responses = 0
         if page.next >= page.end:
             self.fresh_at = min(now, self._sent_at + page.known_after)
         if page.next == page.end:
             self.note_confirmed(page.end, self._sent_at)
-        outage = Outage(self._answered_at, self._lost_at, self._away_at, now)
+        outage = Outage(
+            self._answered_at, self._failed_at, self._unavailable_at, now
+        )
         self._answered_at = self._sent_at
         if self.lost_since is None:
             return
@@ -310,12 +322,12 @@
                 "shortest": round(outage.shortest, 3),
             },
         )
-        self._on_regained(outage)
+        self._on_recovered(outage)
 
-    def _plan(self, seconds: float) -> None:
-        number = self._round
-        self._timers.call_later(seconds, self._read_if, number)
+    def _schedule_read(self, seconds: float) -> None:
+        read_number = self._read_number
+        self._timers.call_later(seconds, self._read_if_current, read_number)
 
-    def _read_if(self, number: int) -> None:
-        if number == self._round:
+    def _read_if_current(self, read_number: int) -> None:
+        if read_number == self._read_number:
             self._read()
--- a/postspring/keyedlog/ports.py
+++ b/postspring/keyedlog/ports.py
@@ -1,6 +1,6 @@
-"""What postspring needs of a log whose records have keys.
+"""Interface of a log whose records have keys.
 
-The adapter of the users' platform and the stand-ins both implement it.
+The adapter of the users' platform and the test doubles implement it.
 """
 
 import abc
@@ -22,10 +22,10 @@
 
 
 class Subject(enum.Enum):
-    """What a partition holds.
+    """Kind of records that a partition holds.
 
-    Operators write the configuration, upstreams announce themselves; the
-    other subjects are the system's own.
+    Operators write the configuration, and upstreams their own entries;
+    postspring writes the records of the other subjects.
     """
 
     CONFIGURATION = "configuration"
@@ -36,14 +36,14 @@
 
 
 class LogPlace(NamedTuple):
-    """One partition of the log."""
+    """Identifies a partition of the log."""
 
     subject: Subject
     partition: int
 
 
 def is_bounded(place: LogPlace) -> bool:
-    """Return whether VMs have to know of new records within a bound.
+    """Return whether VMs must read new records within a bounded time.
 
     Examples
     --------
@@ -56,7 +56,7 @@
 
 
 class LogEntry(NamedTuple):
-    """A keyed record; an empty value drops the key."""
+    """A keyed record; an empty value deletes the key."""
 
     key: str
     value: bytes
@@ -69,13 +69,13 @@
     ==========
 
     next : int
-        Offset to read on from.
+        Offset at which the next read starts.
     end : int
-        Offset behind the partition's last record, as of the read.
+        Offset after the partition's last record at the time of the read.
     known_after : float
-        Seconds after the call began at which the log had no more than this,
-        for certain: an answer may be long on its way, and only one without
-        records tells how long the log waited for them.
+        Seconds after the start of the call at which the log certainly held no
+        further records.  A response may be delayed on its way; only one
+        without records shows that the log waited for them.
     """
 
     entries: list[LogEntry]
@@ -90,7 +90,7 @@
 class KeyedLog(abc.ABC):
     """Appends to and reads from partitions of keyed records.
 
-    Every call ends in exactly one of its two functions.
+    Each call invokes exactly one of its two callbacks.
     """
 
     @property
@@ -106,7 +106,7 @@
         on_done: Callable[[int], None],
         on_error: OnError,
     ) -> None:
-        """Append records, all or none; hand over the first one's offset.
+        """Append all records or none; ``on_done`` gets the first offset.
 
         After :class:`LogUnavailable` the append may still take effect.
         """
@@ -120,12 +120,14 @@
         on_error: OnError,
         wait: float = 0.0,
     ) -> None:
-        """Read records from an offset; :class:`LogExpired` if they went.
+        """Read records from an offset.
+
+        ``on_error`` gets :class:`LogExpired` if they have expired.
 
         Parameters
         ----------
         wait : float
-            Seconds to wait for a record if there is none yet.
+            Seconds that the log waits for a record if there is none yet.
         """
 
     @abc.abstractmethod
@@ -135,4 +137,4 @@
         on_page: Callable[[LogPage], None],
         on_error: OnError,
     ) -> None:
-        """Read the newest record of each key, in the log's order."""
+        """Read the newest record of each key, ordered by offset."""
--- a/postspring/keyedlog/tests/test_follower.py
+++ b/postspring/keyedlog/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Following a partition, in virtual time."""
+"""Tests of the follower of a partition, in virtual time."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class FollowerTest(unittest.TestCase):
-    """All there is, then what is added, through outages."""
+    """The state of the partition, then records added, through outages."""
 
     def setUp(self):
         self.clock = clock_module.VirtualClock()
@@ -20,7 +20,7 @@
         self.log = memory_log.MemoryLog(self.data, timers)
         self.resets = []
         self.added = []
-        self.regained = []
+        self.outages = []
         self.follower = keyedlog.Follower(
             self.log,
             timers,
@@ -28,15 +28,15 @@
             self.resets.append,
             self.added.extend,
             pace=lambda: 0.5,
-            on_regained=self.regained.append,
+            on_regained=self.outages.append,
         )
         self.put("a", b"1")
 
     def put(self, key, value):
-        """Add a record."""
+        """Append a record to the log."""
         self.data.append(PLACE, [keyedlog.LogEntry(key, value)])
 
-    def test_what_is_there_and_what_is_added(self):
+    def test_existing_records_and_added_records(self):
         self.follower.start()
         self.clock.run_for(1)
         self.put("b", b"2")
@@ -44,7 +44,7 @@
         self.assertEqual([[("a", b"1")]], self.resets)
         self.assertEqual([("b", b"2")], self.added)
 
-    def test_an_outage_is_noticed_and_made_up_for(self):
+    def test_records_added_in_an_outage_are_read_afterwards(self):
         self.follower.start()
         self.clock.run_for(1)
         self.log.faults.down = True
@@ -55,9 +55,9 @@
         self.log.faults.down = False
         self.clock.run_for(1)
         self.assertEqual([("b", b"2")], self.added)
-        self.assertEqual(1, len(self.regained))
+        self.assertEqual(1, len(self.outages))
 
-    def test_expired_history(self):
+    def test_expired_records_cause_a_reset(self):
         self.follower.start()
         self.clock.run_for(1)
         self.log.faults.down = True
@@ -68,7 +68,7 @@
         self.clock.run_for(2)
         self.assertEqual([("a", b"1"), ("b", b"2")], self.resets[-1])
 
-    def test_the_view_is_the_newest_of_each_key(self):
+    def test_the_view_has_the_newest_record_of_each_key(self):
         self.follower.start()
         self.put("a", b"2")
         self.put("b", b"3")
@@ -76,9 +76,9 @@
         self.clock.run_for(2)
         self.assertEqual([("a", b"2")], self.follower.view.entries)
 
-    def test_a_view_of_another_vm_until_the_log_answers(self):
+    def test_another_vms_view_serves_until_the_log_responds(self):
         entry = keyedlog.LogEntry("z", b"9")
-        self.follower._ask_others = lambda place, on_page: on_page(
+        self.follower._request_view = lambda place, on_page: on_page(
             keyedlog.LogPage([entry], 0, 0)
         )
         self.log.faults.down = True
@@ -91,12 +91,11 @@
 
 
 class AgeTest(unittest.TestCase):
-    """As of when all that the log acknowledged is known.
+    """The age counts from the time at which the view was complete.
 
-    Seen: callers of VMs with a configuration over 3 s old were told that
-    their host does not exist.  A follower took the time at which it was
-    made, and the arrival of an answer however late, for the time as of
-    which it knew the log; the tests below failed on that.
+    A follower that counted it from its own creation, or from the arrival of
+    a late response, reported too low an age.  VMs with a configuration over
+    3 s old then told callers that their host does not exist.
     """
 
     wait = 1.4
@@ -118,12 +117,12 @@
         )
 
     def put(self, value):
-        """Add a record."""
+        """Append a record to the log."""
         self.data.append(PLACE, [keyedlog.LogEntry("a", value)])
 
-    def test_a_log_that_never_answered_is_not_known(self):
+    def test_the_age_is_infinite_until_the_log_responds(self):
         entry = keyedlog.LogEntry("z", b"9")
-        self.follower._ask_others = lambda place, on_page: on_page(
+        self.follower._request_view = lambda place, on_page: on_page(
             keyedlog.LogPage([entry], 0, 0)
         )
         self.log.faults.down = True
@@ -132,25 +131,25 @@
         self.assertEqual([entry], self.added)
         self.assertGreater(self.follower.age, 1000)
 
-    def test_an_answer_that_comes_late_is_old(self):
+    def test_a_late_response_makes_an_old_view(self):
         self.follower.start()
         self.clock.run_for(0.1)
         self.log.faults.latency = 1.0
         for _ in range(50):
             self.clock.run_for(0.1)
             self.put(b"x")
-            known = len(self.added)
-            self.clock.run_until(lambda: len(self.added) > known, 5)
+            before = len(self.added)
+            self.clock.run_until(lambda: len(self.added) > before, 5)
             self.assertGreaterEqual(self.follower.age, 1.0)
 
-    def test_while_the_log_is_calm_it_is_known_by_the_wait(self):
+    def test_reads_that_wait_keep_the_age_low(self):
         self.follower.start()
         self.clock.run_for(1)
         for step in range(100):
             self.clock.run_for(0.1)
             self.assertLess(self.follower.age, self.wait + 0.05)
 
-    def test_a_record_makes_the_view_no_older(self):
+    def test_a_record_does_not_raise_the_age(self):
         self.follower.start()
         self.clock.run_for(3.0)
         for _ in range(20):
@@ -162,23 +161,23 @@
 
 
 class ConfirmedTest(FollowerTest):
-    """As of when the log is certain to hold no more than what is known.
+    """The confirmed age counts from the start of a read, whatever its wait.
 
-    What may run by that may never have been taken away long ago, so only
-    the start of a call counts, whatever it waited for.
+    Calls are admitted by it, and what admits them must not have been revoked
+    long before.
     """
 
-    def test_a_read_counts_from_its_start(self):
+    def test_the_wait_of_a_read_does_not_count(self):
         self.follower._wait = lambda: 1.5
         self.follower.start()
         for _ in range(60):
             self.clock.run_for(0.1)
-            least = self.clock.now - self.follower._sent_at
+            read_age = self.clock.now - self.follower._sent_at
             self.assertGreaterEqual(
-                self.follower.confirmed_age + 1e-9, min(least, 1.4)
+                self.follower.confirmed_age + 1e-9, min(read_age, 1.4)
             )
 
-    def test_an_answer_that_comes_late_is_as_old_as_its_question(self):
+    def test_a_late_response_is_as_old_as_its_request(self):
         self.follower.start()
         self.clock.run_for(0.3)
         self.log.faults.latency = 1.0
@@ -186,7 +185,7 @@
         self.assertGreater(self.follower.confirmed_age, 0.5)
 
     def test_another_vms_view_confirms_nothing(self):
-        self.follower._ask_others = lambda place, on_page: on_page(
+        self.follower._request_view = lambda place, on_page: on_page(
             keyedlog.LogPage([keyedlog.LogEntry("z", b"9")], 1, 1)
         )
         self.log.faults.down = True
@@ -194,7 +193,7 @@
         self.clock.run_for(0.5)
         self.assertGreater(self.follower.confirmed_age, 1000)
 
-    def test_what_the_log_confirmed_to_another_vm(self):
+    def test_a_confirmation_to_another_vm_counts(self):
         self.follower.start()
         self.clock.run_for(0.1)
         self.log.faults.down = True
@@ -203,7 +202,7 @@
         self.follower.note_confirmed(1, at)
         self.assertAlmostEqual(0.5, self.follower.confirmed_age)
 
-    def test_not_if_that_one_knows_of_more(self):
+    def test_it_does_not_count_if_records_are_missing_here(self):
         self.follower.start()
         self.clock.run_for(0.1)
         self.log.faults.down = True
@@ -211,7 +210,7 @@
         self.follower.note_confirmed(2, self.clock.now)
         self.assertGreater(self.follower.confirmed_age, 2.5)
 
-    def test_nor_if_nothing_was_confirmed_to_it(self):
+    def test_it_does_not_count_without_an_end(self):
         self.follower.start()
         self.clock.run_for(0.1)
         self.log.faults.down = True
--- a/postspring/keyedlog/usual_time.py
+++ b/postspring/keyedlog/usual_time.py
@@ -1,19 +1,19 @@
-"""How long something takes of late."""
+"""Moving average of durations, with a threshold for late ones."""
 
 __all__ = ["UsualTime"]
 
-# What takes longer than this many times its usual time is late.
-LATE_TIMES = 2.5
+# An operation that takes longer than this multiple of the average is late.
+LATE_FACTOR = 2.5
 
 
 class UsualTime:
-    """Follows durations, each new one as much as all before it.
+    """Exponential moving average; each new duration has a weight of half.
 
     Attributes
     ==========
 
     seconds : float
-        What it takes of late; 0 if nothing is known.
+        The average; 0 before the first duration.
 
     Examples
     ========
@@ -30,9 +30,11 @@
         self.seconds = 0.0
 
     def note(self, seconds: float) -> None:
-        """Take note of how long it took."""
+        """Add a duration."""
         self.seconds += (seconds - self.seconds) / 2
 
-    def late_after(self, least: float, most: float = float("inf")) -> float:
-        """Return the seconds after which it is late, within bounds."""
-        return min(max(least, LATE_TIMES * self.seconds), most)
+    def late_after(
+        self, minimum: float, maximum: float = float("inf")
+    ) -> float:
+        """Return the seconds after which an operation is late, bounded."""
+        return min(max(minimum, LATE_FACTOR * self.seconds), maximum)
