--- a/postspring/daemon/__init__.py
+++ b/postspring/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Daemons: thin mains, settings and logs."""
+"""Entry points: the daemons of both kinds of VM, and the command line."""
--- a/postspring/daemon/early_signals.py
+++ b/postspring/daemon/early_signals.py
@@ -1,7 +1,7 @@
-"""Signals that come before anyone can act on them.
+"""Signals that arrive while a process is still starting.
 
-This module imports nothing that takes long: it is there to be used before
-the rest of the program is imported.
+This module imports nothing that takes long, as it is used before the rest of
+the program is imported.
 """
 
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 
 
 class EarlySignals:
-    """Keeps signals during the start, instead of their default action.
+    """Records signals during the start, in place of their default action.
 
     Examples
     ========
 
     >>> early = EarlySignals()
-    >>> early.take(signal.SIGHUP)
+    >>> early.record(signal.SIGHUP)
     >>> early.has(signal.SIGHUP), early.has(signal.SIGTERM)
     (True, False)
     >>> early.replay(signal.SIGHUP, lambda: print("read again"))
@@ -26,23 +26,23 @@
     """
 
     def __init__(self):
-        self._numbers: set[int] = set()
+        self._recorded: set[int] = set()
 
     def install(self) -> None:
-        """Keep what comes from now on, until others take its place."""
+        """Record signals from now on, until other handlers are installed."""
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            signal.signal(number, lambda number, frame: self.take(number))
+            signal.signal(number, lambda number, frame: self.record(number))
 
-    def take(self, number: int) -> None:
-        """Keep a signal; several of a kind are one."""
-        self._numbers.add(number)
+    def record(self, number: int) -> None:
+        """Record a signal; repeated ones count once."""
+        self._recorded.add(number)
 
     def has(self, *numbers: int) -> bool:
-        """Return whether one of these has come."""
-        return not self._numbers.isdisjoint(numbers)
+        """Return whether one of these signals is recorded."""
+        return not self._recorded.isdisjoint(numbers)
 
     def replay(self, number: int, function: Callable[[], None]) -> None:
-        """Act on a signal that was kept, once its handler stands."""
-        if number in self._numbers:
-            self._numbers.discard(number)
+        """Call ``function`` if the signal was recorded, and clear it."""
+        if number in self._recorded:
+            self._recorded.discard(number)
             function()
--- a/postspring/daemon/entry_daemon.py
+++ b/postspring/daemon/entry_daemon.py
@@ -1,4 +1,4 @@
-"""The entry VM's daemon."""
+"""Daemon of an entry VM."""
 
 from postspring.daemon import process
 from postspring.entry import node as node_module
@@ -8,16 +8,20 @@
 __all__ = ["run_entry"]
 
 
-def run_entry(checked: settings.EntrySettings) -> None:
-    """Run an entry VM until it is told to stop."""
+def run_entry(entry_settings: settings.EntrySettings) -> None:
+    """Run an entry VM until a signal stops it."""
     logs.set_up_logs(
-        checked.log_level, vm=checked.vm, data_center=checked.data_center
+        entry_settings.log_level,
+        vm=entry_settings.vm,
+        data_center=entry_settings.data_center,
     )
     process.raise_file_limit()
-    node = node_module.EntryNode(checked, on_stopped=process.end_process)
+    node = node_module.EntryNode(
+        entry_settings, on_stopped=process.end_process
+    )
 
     def shut_down() -> None:
-        """Begin a graceful shutdown; at the second signal stop at once."""
+        """Begin a graceful shutdown; on the second signal exit at once."""
         if node.leaving:
             raise SystemExit(1)
         node.shut_down()
--- a/postspring/daemon/front_daemon.py
+++ b/postspring/daemon/front_daemon.py
@@ -1,4 +1,4 @@
-"""The front VM's daemon, as the users' platform starts it."""
+"""Daemon of a front VM, as the users' platform starts it."""
 
 from collections.abc import Mapping
 import logging
@@ -9,14 +9,14 @@
 
 from postspring.daemon import early_signals
 
-# The imports below take a good part of the start; a signal meanwhile would
-# end the process by its default action.
+# The imports below take much of the start; until handlers are installed, a
+# signal would end the process by its default action.
 EARLY_SIGNALS = early_signals.EarlySignals()
 if __name__ == "__main__":
     EARLY_SIGNALS.install()
 
-# circuits asks pkg_resources only to declare a namespace package, and
-# importing it costs 9 MB on each VM.
+# circuits uses pkg_resources only to declare a namespace package, and the real
+# module takes 9 MB of memory on each VM.
 _namespaces = types.ModuleType("pkg_resources")
 _namespaces.declare_namespace = lambda name: None
 sys.modules.setdefault("pkg_resources", _namespaces)
@@ -33,26 +33,28 @@
 
 LOG = logging.getLogger(__name__)
 
-# A file that is just being written is whole soon after; in seconds.
-READ_AGAIN_SECONDS = 0.2
-MOST_READS = 50
+# Delay between reads of an invalid settings file, which may be half written.
+RELOAD_RETRY_SECONDS = 0.2
+MAX_RELOAD_RETRIES = 50
 
 
 def run_front(flags: dict[str, str]) -> None:
-    """Run a front VM until it is told to stop."""
-    own = settings.load_front_settings(flags, os.environ)
+    """Run a front VM until a signal stops it."""
+    front_settings = settings.load_front_settings(flags, os.environ)
     vm = platform.load_settings(os.environ)
     logs.set_up_front_logs(
-        own.log_level,
-        own.log_lines_per_second,
+        front_settings.log_level,
+        front_settings.log_lines_per_second,
         vm=vm.vm,
         data_center=vm.data_center,
     )
     if EARLY_SIGNALS.has(signal.SIGTERM, signal.SIGINT):
-        LOG.info("stopped before the start")
+        LOG.info("stopped by a signal during the start")
         return
     process.raise_file_limit(vm.max_files)
-    node = node_module.FrontNode(vm, own, on_stopped=process.end_process)
+    node = node_module.FrontNode(
+        vm, front_settings, on_stopped=process.end_process
+    )
     process.Process(node, node.shutdown.begin, EARLY_SIGNALS)
     reload_on_hangup(node, os.environ)
     node.run()
@@ -61,46 +63,46 @@
 def reload_on_hangup(
     node: node_module.FrontNode, environment: Mapping[str, str]
 ) -> None:
-    """Read the settings again at SIGHUP; without this it ends the process.
+    """Reload the settings on SIGHUP, which by default ends the process.
 
-    A file that can't be read is tried again for a while, as it may be half
-    written; meanwhile the settings that are known stay in force.
+    An invalid file is read again for a while, as it may be half written.
+    Until it is valid, the current settings stay in force.
     """
     pending: list[transport.TimerHandle] = []
 
-    def read_again(left: int) -> None:
+    def reload(retries_left: int) -> None:
         pending.clear()
         try:
             vm = platform.load_settings(environment)
         except errors.SettingsError as error:
-            is_last = not left
-            if is_last or left == MOST_READS:
+            is_last = not retries_left
+            if is_last or retries_left == MAX_RELOAD_RETRIES:
                 LOG.error(
                     "settings not read",
                     extra={"error": str(error), "given_up": is_last},
                 )
             if not is_last:
-                plan(READ_AGAIN_SECONDS, left - 1)
+                schedule(RELOAD_RETRY_SECONDS, retries_left - 1)
         else:
             node.reconfigure(vm)
 
-    def plan(seconds: float, left: int) -> None:
+    def schedule(seconds: float, retries_left: int) -> None:
         for handle in pending:
             handle.cancel()
-        pending[:] = [node.timers.call_later(seconds, read_again, left)]
+        pending[:] = [node.timers.call_later(seconds, reload, retries_left)]
 
-    def hang_up() -> None:
-        plan(0, MOST_READS)
+    def on_hangup() -> None:
+        schedule(0, MAX_RELOAD_RETRIES)
 
-    signal.signal(signal.SIGHUP, lambda number, frame: hang_up())
-    EARLY_SIGNALS.replay(signal.SIGHUP, hang_up)
+    signal.signal(signal.SIGHUP, lambda number, frame: on_hangup())
+    EARLY_SIGNALS.replay(signal.SIGHUP, on_hangup)
 
 
 def main() -> None:
-    """Run with ``--name=value`` flags; a fault is one line and status 1."""
+    """Run with ``--name=value`` flags; print errors and exit with 1."""
     flags = {}
-    for word in sys.argv[1:]:
-        name, _, value = word.removeprefix("--").partition("=")
+    for argument in sys.argv[1:]:
+        name, _, value = argument.removeprefix("--").partition("=")
         flags[name.replace("-", "_")] = value
     try:
         run_front(flags)
--- a/postspring/daemon/main.py
+++ b/postspring/daemon/main.py
@@ -28,7 +28,7 @@
         author: str = "",
         change_id: str | None = None,
     ) -> str:
-        """Publish a document on the log at ``platform`` (ip:port)."""
+        """Publish a document to the log at ``platform`` (ip:port)."""
         document = pathlib.Path(file).read_bytes()
         version = self._publisher(platform).publish(
             document, expected_version, author, change_id
@@ -40,7 +40,7 @@
         return publisher.format_state(self._publisher(platform).read().state)
 
     def check(self, file: str) -> str:
-        """Check a document; name every fault with its path."""
+        """Check a document; report each error with its path."""
         configuration.parse_configuration(pathlib.Path(file).read_bytes())
         return "ok"
 
@@ -96,7 +96,7 @@
         self.program = ProgramCommands()
 
     def entry(self, **flags) -> None:
-        """Run an entry VM; flags and POSTSPRING_* variables set it up."""
+        """Run an entry VM, configured by flags and POSTSPRING_* variables."""
         from postspring.daemon import entry_daemon
 
         text_flags = {name: str(value) for name, value in flags.items()}
@@ -110,25 +110,25 @@
         key: str = "",
         change_id: str = "",
     ) -> str:
-        """Run a text of the query and command language.
+        """Run a statement of the query and command language.
 
-        Without a text, each line of standard input is run.
+        Without ``text``, run each line of standard input.
         """
         entry = entry or os.environ.get("POSTSPRING_ENTRY", "")
         key = key or os.environ.get("POSTSPRING_OPERATOR_KEY", "")
         if not entry:
-            raise errors.CommandError("--entry=ip:port is needed")
+            raise errors.CommandError("--entry=ip:port is required")
         commander = client.Commander([entry], key)
-        texts = [text] if text is not None else sys.stdin
-        answers = [
+        statements = [text] if text is not None else sys.stdin
+        results = [
             commander.run(str(line), format, change_id)
-            for line in texts
+            for line in statements
             if str(line).strip()
         ]
-        return "\n".join(answers)
+        return "\n".join(results)
 
     def status(self, entry: str) -> str:
-        """Show an entry VM's own state."""
+        """Show the state of an entry VM."""
         answer = client.EntryClient([entry]).request("GET", "/v1/status")
         return json.dumps(answer.body, indent=2)
 
@@ -138,7 +138,7 @@
 
 
 def main() -> None:
-    """Run a command; an error is one line and exit status 1."""
+    """Run a command; print an error as one line and exit with 1."""
     try:
         fire.Fire(Commands, name="postspring")
     except errors.PostspringError as error:
--- a/postspring/daemon/process.py
+++ b/postspring/daemon/process.py
@@ -1,4 +1,4 @@
-"""A node's process: started with the loop, told of signals, then ended."""
+"""Process of a node: starts it with the event loop, stops it on signals."""
 
 from collections.abc import Callable
 import logging
@@ -14,25 +14,26 @@
 
 LOG = logging.getLogger(__name__)
 
-# Enough for all callers that a VM takes, an upstream for each, and the rest.
-ENOUGH_FILES = 8200
+# Enough for all callers that a VM accepts, an upstream connection for each of
+# them, and other files.
+DEFAULT_FILE_LIMIT = 8200
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class Process(BaseComponent):
-    """Starts the node with the loop and stops it by signal.
+    """Starts the node with the event loop and shuts it down on signals.
 
-    circuits' manager would stop the loop at once; the node's own shutdown
-    lets what is under way end first.
+    The manager of circuits would stop the loop at once; the node's own
+    shutdown first lets running calls end.
 
     Parameters
     ==========
 
     shut_down : callable
-        Called at each SIGTERM and SIGINT.
+        Called on each SIGTERM and SIGINT.
     early : EarlySignals, optional
-        What came before the loop ran is done once it does.
+        Signals that arrived before the loop ran; replayed once it runs.
     """
 
     def __init__(
@@ -60,22 +61,22 @@
 
 
 def end_process() -> None:
-    """End the process once its node has stopped."""
+    """Exit successfully; called once the node has stopped."""
     raise SystemExit(0)
 
 
-def raise_file_limit(most: int = 0) -> None:
-    """Let this process open what it needs, as far as the machine allows.
+def raise_file_limit(platform_limit: int = 0) -> None:
+    """Raise the soft limit of open files as far as needed and allowed.
 
-    The usual soft limit, 1,024, is made for programs that call select().
+    The usual soft limit, 1,024, is meant for programs that call select().
 
     Parameters
     ----------
-    most : int
-        What the platform lets it open; 0 if that isn't known.
+    platform_limit : int
+        Number of files that the platform allows; 0 if unknown.
     """
     before, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = most or ENOUGH_FILES
+    wanted = platform_limit or DEFAULT_FILE_LIMIT
     if hard != resource.RLIM_INFINITY:
         wanted = min(wanted, hard)
     soft = before
@@ -84,7 +85,7 @@
             resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
             soft = wanted
         except (OSError, ValueError) as error:
-            LOG.warning("file limit stays", extra={"error": str(error)})
+            LOG.warning("file limit not raised", extra={"error": str(error)})
     LOG.info(
         "file limit", extra={"soft": soft, "hard": hard, "before": before}
     )
--- a/postspring/daemon/tests/test_front_signals.py
+++ b/postspring/daemon/tests/test_front_signals.py
@@ -1,10 +1,10 @@
 """Signals that reach a front VM's process while it starts and stops.
 
-Seen: SIGHUP or SIGTERM in the first half second of a start ended the process
-by the default action (status 129, 143), so that a VM that was told to reload
-did not come up.  Cause: handlers were installed behind the imports and the
-opening of the listeners.  Proof: the settings file is a pipe here, which
-holds the start up until the test has sent its signals.
+Without early handlers, SIGHUP or SIGTERM in the first half second of a start
+ends the process by the default action (status 129, 143), so that a VM that is
+asked to reload does not come up: the handlers of the node are installed after
+the imports and the opening of the listeners.  Here the settings file is a
+named pipe, which blocks the start until the test has sent its signals.
 """
 
 import contextlib
@@ -25,7 +25,7 @@
 
 
 class FrontSignalsTest(unittest.TestCase):
-    """The daemon as a process."""
+    """The daemon runs as a process of its own."""
 
     def setUp(self):
         self.group = processes.ProcessGroup()
@@ -48,17 +48,17 @@
         module = "postspring.daemon.front_daemon"
         self.group.start(NAME, [module], variables)
 
-    def start_held_up(self, *numbers):
-        """Start it, send signals before it has its settings, go on."""
+    def start_blocked(self, *numbers):
+        """Start the daemon, send signals, then let it read its settings."""
         os.mkfifo(self.path)
         self.start()
         pipe = processes.wait_until("the start", self.open_pipe)
         for number in numbers:
             self.send(number)
-        # A pipe is read once; a file is there to be read again.
-        whole = self.path.with_name("whole")
-        whole.write_text(self.text)
-        whole.rename(self.path)
+        # A pipe can be read once; a reload reads the file that replaces it.
+        complete = self.path.with_name("whole")
+        complete.write_text(self.text)
+        complete.rename(self.path)
         with open(pipe, "w") as writer:
             writer.write(self.text)
 
@@ -71,29 +71,29 @@
         self.group.process_by_name[NAME].send_signal(number)
 
     def wait(self):
-        """Wait for the end, and return the status."""
+        """Wait for the process to exit, and return its status."""
         process = self.group.process_by_name.pop(NAME)
         return process.wait(processes.START_SECONDS)
 
     def is_listening(self):
-        """Whether callers can connect."""
+        """Return whether callers can connect."""
         address = ("127.0.0.1", self.port)
         with contextlib.closing(socket.create_connection(address)):
             return True
 
-    def test_a_reload_during_the_start_is_done_behind_it(self):
-        self.start_held_up(signal.SIGHUP)
+    def test_a_reload_during_the_start_runs_after_it(self):
+        self.start_blocked(signal.SIGHUP)
         processes.wait_until(
             "the reload",
             lambda: "settings read again" in self.group.log(NAME),
         )
         self.assertTrue(self.is_listening())
 
-    def test_a_stop_during_the_start_ends_it_in_order(self):
-        self.start_held_up(signal.SIGTERM)
+    def test_a_stop_during_the_start_exits_successfully(self):
+        self.start_blocked(signal.SIGTERM)
         self.assertEqual(0, self.wait())
 
-    def test_a_stop_before_the_first_configuration(self):
+    def test_a_stop_before_the_first_configuration_exits_successfully(self):
         self.path.write_text(self.text)
         self.start()
         processes.wait_until("the listener", self.is_listening)
--- a/postspring/daemon/tests/test_process.py
+++ b/postspring/daemon/tests/test_process.py
@@ -1,4 +1,4 @@
-"""A node's process: its start, and the signals that end it."""
+"""Tests of a node's process: its start, and the signals that stop it."""
 
 import resource
 import signal
@@ -14,7 +14,7 @@
 
 
 class Node(BaseComponent):
-    """A node that only takes note."""
+    """A node that records the calls of its methods."""
 
     def __init__(self, *arguments, **options):
         super().__init__()
@@ -29,21 +29,21 @@
         self.leaving = True
 
     def stop(self, code=None):
-        """Take what circuits makes of a handler's SystemExit."""
+        """Record the call that circuits makes on a handler's SystemExit."""
         self.calls.append(f"stop {code}")
 
     def run(self):
-        """Handle the loop's start, and no more."""
-        self.tell(events.started(self))
+        """Handle only the start event of the loop."""
+        self.dispatch(events.started(self))
 
-    def tell(self, event):
+    def dispatch(self, event):
         self.fire(event, "*")
         while len(self):
             self.flush()
 
 
 class ProcessTest(unittest.TestCase):
-    """What reaches the node."""
+    """Events that reach the node."""
 
     def setUp(self):
         self.node = Node()
@@ -57,27 +57,29 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             with self.subTest(number):
                 self.node.calls.clear()
-                self.node.tell(events.signal(number, None))
+                self.node.dispatch(events.signal(number, None))
                 self.assertEqual(["shut down"], self.node.calls)
 
     def test_another_signal_does_nothing(self):
-        self.node.tell(events.signal(signal.SIGHUP, None))
+        self.node.dispatch(events.signal(signal.SIGHUP, None))
         self.assertEqual(["start"], self.node.calls)
 
-    def test_the_end_is_no_failure(self):
+    def test_the_exit_status_is_zero(self):
         with self.assertRaises(SystemExit) as stopped:
             process.end_process()
         self.assertEqual(0, stopped.exception.code)
 
 
 class EntryDaemonTest(unittest.TestCase):
-    """The entry VM's daemon on top of it."""
+    """The daemon of an entry VM."""
 
     def setUp(self):
         self.node = Node()
-        checked = mock.create_autospec(settings.EntrySettings, instance=True)
-        checked.log_level = "INFO"
-        checked.vm, checked.data_center = "rimac-1", "rimac"
+        entry_settings = mock.create_autospec(
+            settings.EntrySettings, instance=True
+        )
+        entry_settings.log_level = "INFO"
+        entry_settings.vm, entry_settings.data_center = "rimac-1", "rimac"
         module = entry_daemon
         for target, name, replacement in (
             (module.node_module, "EntryNode", lambda *a, **k: self.node),
@@ -86,47 +88,47 @@
             patch = mock.patch.object(target, name, replacement)
             patch.start()
             self.addCleanup(patch.stop)
-        entry_daemon.run_entry(checked)
+        entry_daemon.run_entry(entry_settings)
 
     def test_the_first_signal_is_graceful(self):
-        self.node.tell(events.signal(signal.SIGTERM, None))
+        self.node.dispatch(events.signal(signal.SIGTERM, None))
         self.assertEqual(["start", "shut down"], self.node.calls)
 
     def test_the_second_signal_stops_at_once(self):
-        self.node.tell(events.signal(signal.SIGTERM, None))
-        self.node.tell(events.signal(signal.SIGTERM, None))
+        self.node.dispatch(events.signal(signal.SIGTERM, None))
+        self.node.dispatch(events.signal(signal.SIGTERM, None))
         self.assertEqual(["start", "shut down", "stop 1"], self.node.calls)
 
 
 class FileLimitTest(unittest.TestCase):
-    """The process's own soft limit of files."""
+    """The soft limit of open files."""
 
-    def raise_from(self, soft, hard, most=0, error=None):
-        """Return what the limit is set to, or None."""
+    def raise_from(self, soft, hard, platform_limit=0, error=None):
+        """Return the soft limit that is set, or None."""
         with (
             mock.patch.object(
                 resource, "getrlimit", autospec=True, return_value=(soft, hard)
             ),
             mock.patch.object(
                 resource, "setrlimit", autospec=True, side_effect=error
-            ) as setting,
+            ) as set_limit,
         ):
-            process.raise_file_limit(most)
-        return setting.call_args and setting.call_args.args[1]
+            process.raise_file_limit(platform_limit)
+        return set_limit.call_args and set_limit.call_args.args[1]
 
-    def test_it_rises_to_the_hard_limit_at_most(self):
+    def test_it_is_raised_to_the_hard_limit_at_most(self):
         self.assertEqual((4096, 4096), self.raise_from(1024, 4096))
 
-    def test_it_rises_no_further_than_needed(self):
+    def test_it_is_raised_no_further_than_needed(self):
         self.assertEqual((8200, 10**6), self.raise_from(1024, 10**6))
         self.assertEqual((2000, 10**6), self.raise_from(1024, 10**6, 2000))
         unlimited = resource.RLIM_INFINITY
         self.assertEqual((8200, unlimited), self.raise_from(1024, unlimited))
 
-    def test_it_never_falls(self):
+    def test_it_is_never_lowered(self):
         self.assertIsNone(self.raise_from(20000, 20000))
         self.assertIsNone(self.raise_from(1024, 4096, 500))
 
-    def test_a_refusal_is_no_reason_not_to_start(self):
+    def test_an_error_is_logged_and_does_not_stop_the_start(self):
         with self.assertLogs("postspring.daemon.process", "WARNING"):
             self.raise_from(1024, 4096, error=OSError("no"))
--- a/postspring/logs/__init__.py
+++ b/postspring/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, on standard error or, bounded, output."""
+"""Logs: one JSON object per line, on standard error or standard output."""
 
 from postspring.logs.bounded import BoundedHandler
 from postspring.logs.bounded import set_up_front_logs
--- a/postspring/logs/json_lines.py
+++ b/postspring/logs/json_lines.py
@@ -1,4 +1,4 @@
-"""Logs as one JSON object a line."""
+"""Logs with one JSON object per line."""
 
 import logging
 import sys
@@ -7,28 +7,28 @@
 
 __all__ = ["install", "set_up_logs"]
 
-FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
+LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
-def set_up_logs(level: str, **constant: str) -> None:
-    """Log to standard error; ``constant`` fields go into every line."""
-    install(logging.StreamHandler(sys.stderr), level, constant)
+def set_up_logs(level: str, **constant_fields: str) -> None:
+    """Log to standard error, with constant fields in each line."""
+    install(logging.StreamHandler(sys.stderr), level, constant_fields)
 
 
 def install(
-    sink: logging.Handler, level: str, constant: dict[str, str]
+    handler: logging.Handler, level: str, constant_fields: dict[str, str]
 ) -> None:
-    """Make ``sink`` the only destination of all logs."""
+    """Make ``handler`` the only handler of all logs."""
     formatter = json_logger.JsonFormatter(
-        FIELDS,
+        LOG_FORMAT,
         rename_fields={
             "asctime": "time",
             "levelname": "level",
             "name": "logger",
         },
-        static_fields=constant,
+        static_fields=constant_fields,
     )
-    sink.setFormatter(formatter)
+    handler.setFormatter(formatter)
     root = logging.getLogger()
-    root.handlers[:] = [sink]
+    root.handlers[:] = [handler]
     root.setLevel(level.upper())
