--- a/postspring/keyedlog/follower.py
+++ b/postspring/keyedlog/follower.py
@@ -36,7 +36,7 @@
 
     answered_at : float
         Start of the last successful call before the outage; seconds.
-    lost_at : float
+    failed_at : float
         Start of the first failed call.
     away_at : float
         Start of the last call that showed the log to be unavailable: it may
--- a/postspring/upstreams/load.py
+++ b/postspring/upstreams/load.py
@@ -19,7 +19,7 @@
 # at a time try whether the upstream is back.
 SUSPECT_SECONDS = 1.0
 # Broken calls in a row that count as a failure of the upstream itself.
-MIN_BREAKS_IN_A_ROW = 2
+MIN_CONSECUTIVE_BROKEN_CALLS = 2
 # Time in which the confidence in a measured pace falls to 0, in seconds:
 # bursts and slow periods of upstreams take about as long.
 PACE_VALID_SECONDS = 4.0
@@ -54,7 +54,7 @@
         Time at which data of any response last arrived; seconds.
     broken_at : float
         Time at which a call's connection last broke; seconds.
-    breaks_in_a_row : int
+    consecutive_broken_calls : int
         Broken calls since data of a response last arrived.
     untold_breaks : int
         Broken calls that this VM has not reported to other VMs yet.
@@ -75,7 +75,7 @@
     peer_calls_at: float = -math.inf
     answered_at: float = -math.inf
     broken_at: float = -math.inf
-    breaks_in_a_row: int = 0
+    consecutive_broken_calls: int = 0
     untold_breaks: int = 0
     suspected_at: float = -math.inf
     suspected_until: float = 0.0
@@ -110,7 +110,7 @@
     def note_answer(self, now: float) -> None:
         """Record that data of a response arrived."""
         self.answered_at = now
-        self.breaks_in_a_row = 0
+        self.consecutive_broken_calls = 0
 
     def note_break(self, sent_at: float, now: float) -> None:
         """Record that a call's connection broke.
@@ -133,9 +133,11 @@
         """
         self.broken_at = now
         self.untold_breaks += 1
-        self.breaks_in_a_row += 1
-        in_a_row = self.breaks_in_a_row >= MIN_BREAKS_IN_A_ROW
-        if in_a_row or self.answered_at <= sent_at:
+        self.consecutive_broken_calls += 1
+        is_repeated = (
+            self.consecutive_broken_calls >= MIN_CONSECUTIVE_BROKEN_CALLS
+        )
+        if is_repeated or self.answered_at <= sent_at:
             self.suspend(now, _add_jitter(SUSPECT_SECONDS))
 
     def suspect(self, broken_at: float) -> None:
--- a/postspring/upstreams/suspicion.py
+++ b/postspring/upstreams/suspicion.py
@@ -42,18 +42,18 @@
         Incarnation of the upstream.
     age : float
         Seconds since the observation.
-    breaks : int
+    broken_calls : int
         Calls whose connection broke; 0 if data arrived from the upstream.
     """
 
     upstream: str
     age: float
-    breaks: int
+    broken_calls: int
 
 
 @dataclasses.dataclass(slots=True)
 class _ConnectionRecord:
-    breaks: int = 0
+    broken_calls: int = 0
     broken_at: float = -math.inf
     answered_at: float = -math.inf
 
@@ -65,13 +65,13 @@
     ========
 
     >>> board = SuspicionBoard()
-    >>> board.take(Sighting("u", 0.0, breaks=1), now=1.0)
+    >>> board.take(Sighting("u", 0.0, broken_calls=1), now=1.0)
     >>> board.suspects(now=1.0)
     {}
-    >>> board.take(Sighting("u", 0.0, breaks=1), now=1.1)
+    >>> board.take(Sighting("u", 0.0, broken_calls=1), now=1.1)
     >>> board.suspects(now=1.2)
     {'u': 1.1}
-    >>> board.take(Sighting("u", 0.05, breaks=0), now=1.3)
+    >>> board.take(Sighting("u", 0.05, broken_calls=0), now=1.3)
     >>> board.suspects(now=1.3)
     {}
     """
@@ -85,16 +85,16 @@
             sighting.upstream, _ConnectionRecord()
         )
         observed_at = now - sighting.age
-        if not sighting.breaks:
+        if not sighting.broken_calls:
             record.answered_at = max(record.answered_at, observed_at)
             if observed_at > record.broken_at:
-                record.breaks = 0
+                record.broken_calls = 0
             return
         if observed_at <= record.answered_at:
             return
         if observed_at - record.broken_at > BREAK_WINDOW_SECONDS:
-            record.breaks = 0
-        record.breaks += sighting.breaks
+            record.broken_calls = 0
+        record.broken_calls += sighting.broken_calls
         record.broken_at = max(record.broken_at, observed_at)
 
     def suspects(self, now: float) -> dict[str, float]:
@@ -103,7 +103,7 @@
         return {
             upstream: record.broken_at
             for upstream, record in self._record_by_upstream.items()
-            if record.breaks >= MIN_BROKEN_CALLS
+            if record.broken_calls >= MIN_BROKEN_CALLS
         }
 
     def _discard_expired(self, now: float) -> None:
--- a/postspring/upstreams/tests/test_suspicion.py
+++ b/postspring/upstreams/tests/test_suspicion.py
@@ -12,9 +12,9 @@
     def setUp(self):
         self.board = upstreams.SuspicionBoard()
 
-    def observe(self, now, breaks=1, age=0.0):
+    def observe(self, now, broken_calls=1, age=0.0):
         """Add an observation that arrives at a given time."""
-        self.board.take(upstreams.Sighting("u", age, breaks), now)
+        self.board.take(upstreams.Sighting("u", age, broken_calls), now)
 
     def test_one_broken_call_raises_no_suspicion(self):
         self.observe(1.0)
@@ -31,22 +31,22 @@
         self.assertEqual({}, self.board.suspects(1.8))
 
     def test_a_later_response_clears_the_suspicion(self):
-        self.observe(1.0, breaks=3)
-        self.observe(1.3, breaks=0, age=0.1)
+        self.observe(1.0, broken_calls=3)
+        self.observe(1.3, broken_calls=0, age=0.1)
         self.assertEqual({}, self.board.suspects(1.3))
 
     def test_an_earlier_response_does_not(self):
-        self.observe(1.0, breaks=3)
-        self.observe(1.3, breaks=0, age=0.5)
+        self.observe(1.0, broken_calls=3)
+        self.observe(1.3, broken_calls=0, age=0.5)
         self.assertEqual({"u": 1.0}, self.board.suspects(1.3))
 
     def test_broken_calls_before_a_response_do_not_count(self):
-        self.observe(1.0, breaks=0)
-        self.observe(1.1, breaks=3, age=0.2)
+        self.observe(1.0, broken_calls=0)
+        self.observe(1.1, broken_calls=3, age=0.2)
         self.assertEqual({}, self.board.suspects(1.1))
 
     def test_old_observations_are_discarded(self):
-        self.observe(1.0, breaks=3)
+        self.observe(1.0, broken_calls=3)
         self.assertEqual({}, self.board.suspects(3.1))
         self.assertEqual({}, self.board._record_by_upstream)
 
