--- a/postspring/keyedlog/usual_time.py
+++ b/postspring/keyedlog/usual_time.py
@@ -18,11 +18,11 @@
     Examples
     ========
 
-    >>> usual = UsualTime()
-    >>> usual.late_after(0.3)
+    >>> average = UsualTime()
+    >>> average.late_after(0.3)
     0.3
-    >>> usual.note(0.4)
-    >>> usual.seconds, usual.late_after(0.3), usual.late_after(0.3, 0.4)
+    >>> average.note(0.4)
+    >>> average.seconds, average.late_after(0.3), average.late_after(0.3, 0.4)
     (0.2, 0.5, 0.4)
     """
 
--- a/postspring/upstreams/suspicion.py
+++ b/postspring/upstreams/suspicion.py
@@ -64,28 +64,28 @@
     Examples
     ========
 
-    >>> board = SuspicionBoard()
-    >>> board.take(Sighting("u", 0.0, broken_calls=1), now=1.0)
-    >>> board.suspects(now=1.0)
+    >>> detector = SuspicionBoard()
+    >>> detector.take(Sighting("u", 0.0, broken_calls=1), now=1.0)
+    >>> detector.suspects(now=1.0)
     {}
-    >>> board.take(Sighting("u", 0.0, broken_calls=1), now=1.1)
-    >>> board.suspects(now=1.2)
+    >>> detector.take(Sighting("u", 0.0, broken_calls=1), now=1.1)
+    >>> detector.suspects(now=1.2)
     {'u': 1.1}
-    >>> board.take(Sighting("u", 0.05, broken_calls=0), now=1.3)
-    >>> board.suspects(now=1.3)
+    >>> detector.take(Sighting("u", 0.05, broken_calls=0), now=1.3)
+    >>> detector.suspects(now=1.3)
     {}
     """
 
     def __init__(self):
         self._record_by_upstream: dict[str, _ConnectionRecord] = {}
 
-    def take(self, sighting: Sighting, now: float) -> None:
-        """Add an observation, made ``sighting.age`` seconds before now."""
+    def take(self, observation: Sighting, now: float) -> None:
+        """Add an observation, made ``observation.age`` seconds before now."""
         record = self._record_by_upstream.setdefault(
-            sighting.upstream, _ConnectionRecord()
+            observation.upstream, _ConnectionRecord()
         )
-        observed_at = now - sighting.age
-        if not sighting.broken_calls:
+        observed_at = now - observation.age
+        if not observation.broken_calls:
             record.answered_at = max(record.answered_at, observed_at)
             if observed_at > record.broken_at:
                 record.broken_calls = 0
@@ -94,7 +94,7 @@
             return
         if observed_at - record.broken_at > BREAK_WINDOW_SECONDS:
             record.broken_calls = 0
-        record.broken_calls += sighting.broken_calls
+        record.broken_calls += observation.broken_calls
         record.broken_at = max(record.broken_at, observed_at)
 
     def suspects(self, now: float) -> dict[str, float]:
--- a/postspring/upstreams/tests/test_suspicion.py
+++ b/postspring/upstreams/tests/test_suspicion.py
@@ -10,45 +10,45 @@
     """Observations of broken calls and of responses are combined."""
 
     def setUp(self):
-        self.board = upstreams.SuspicionBoard()
+        self.detector = upstreams.SuspicionBoard()
 
     def observe(self, now, broken_calls=1, age=0.0):
         """Add an observation that arrives at a given time."""
-        self.board.take(upstreams.Sighting("u", age, broken_calls), now)
+        self.detector.take(upstreams.Sighting("u", age, broken_calls), now)
 
     def test_one_broken_call_raises_no_suspicion(self):
         self.observe(1.0)
-        self.assertEqual({}, self.board.suspects(1.0))
+        self.assertEqual({}, self.detector.suspects(1.0))
 
     def test_two_broken_calls_raise_one(self):
         self.observe(1.0)
         self.observe(1.2)
-        self.assertEqual({"u": 1.2}, self.board.suspects(1.2))
+        self.assertEqual({"u": 1.2}, self.detector.suspects(1.2))
 
     def test_two_broken_calls_far_apart_do_not(self):
         self.observe(1.0)
         self.observe(1.8)
-        self.assertEqual({}, self.board.suspects(1.8))
+        self.assertEqual({}, self.detector.suspects(1.8))
 
     def test_a_later_response_clears_the_suspicion(self):
         self.observe(1.0, broken_calls=3)
         self.observe(1.3, broken_calls=0, age=0.1)
-        self.assertEqual({}, self.board.suspects(1.3))
+        self.assertEqual({}, self.detector.suspects(1.3))
 
     def test_an_earlier_response_does_not(self):
         self.observe(1.0, broken_calls=3)
         self.observe(1.3, broken_calls=0, age=0.5)
-        self.assertEqual({"u": 1.0}, self.board.suspects(1.3))
+        self.assertEqual({"u": 1.0}, self.detector.suspects(1.3))
 
     def test_broken_calls_before_a_response_do_not_count(self):
         self.observe(1.0, broken_calls=0)
         self.observe(1.1, broken_calls=3, age=0.2)
-        self.assertEqual({}, self.board.suspects(1.1))
+        self.assertEqual({}, self.detector.suspects(1.1))
 
     def test_old_observations_are_discarded(self):
         self.observe(1.0, broken_calls=3)
-        self.assertEqual({}, self.board.suspects(3.1))
-        self.assertEqual({}, self.board._record_by_upstream)
+        self.assertEqual({}, self.detector.suspects(3.1))
+        self.assertEqual({}, self.detector._record_by_upstream)
 
 
 class SuspensionTest(unittest.TestCase):
@@ -100,7 +100,7 @@
     def lost_turns(self, seed, exchanges_reports):
         """Return how many turns are lost at crashed engines."""
         rng = random.Random(seed)
-        board = upstreams.SuspicionBoard()
+        detector = upstreams.SuspicionBoard()
         loads_by_vm = [
             [
                 upstreams.UpstreamLoad(concurrency=6)
@@ -127,10 +127,10 @@
             else:
                 loads_by_vm[vm][engine].note_answer(now)
             if exchanges_reports:
-                self._report(board, loads_by_vm, next_report_at, now)
+                self._report(detector, loads_by_vm, next_report_at, now)
         return lost
 
-    def _report(self, board, loads_by_vm, next_report_at, now):
+    def _report(self, detector, loads_by_vm, next_report_at, now):
         for vm, upstream_loads in enumerate(loads_by_vm):
             if now < next_report_at[vm]:
                 continue
@@ -138,10 +138,10 @@
             for engine, load in enumerate(upstream_loads):
                 if load.untold_breaks:
                     age = now - load.broken_at
-                    sighting = (str(engine), age, load.untold_breaks)
-                    board.take(upstreams.Sighting(*sighting), now)
+                    observation = (str(engine), age, load.untold_breaks)
+                    detector.take(upstreams.Sighting(*observation), now)
                     load.untold_breaks = 0
-            suspects = board.suspects(now)
+            suspects = detector.suspects(now)
             for engine, load in enumerate(upstream_loads):
                 if str(engine) in suspects:
                     load.suspect(suspects[str(engine)])
