--- a/postspring/peering/__init__.py
+++ b/postspring/peering/__init__.py
@@ -1,9 +1,16 @@
-"""Peering: how entry VMs help each other while the log is away.
+"""Peering: the messages that entry VMs exchange, and what they serve.
 
-VMs speak HTTP with CBOR bodies, on connections that are opened when they
-are needed: no heartbeats, and no links to keep at any size.  The client
-and the server are those that callers and upstreams need anyway; websockets
-with their message types would cost each VM 12 MB more.
+VMs send each other CBOR over HTTP, on connections that are opened on demand: a
+VM sends no heartbeats to other VMs and keeps no permanent links to them,
+however many there are.  The HTTP client and server exist anyway for callers
+and upstreams; websockets with their own message types would cost each VM
+another 12 MB of memory.
+
+While a VM can't reach the log, it calls the log through another VM
+(:class:`FailoverLog`), stores copies of its records at other VMs, or runs a
+program *offline*: it charges the program's turns to an account of its own and
+records them when the log is back.  The code of the accounts calls the VM at
+which a program runs offline its home.
 """
 
 from postspring.peering.failover import FailoverLog
--- a/postspring/peering/avoidance.py
+++ b/postspring/peering/avoidance.py
@@ -1,4 +1,4 @@
-"""VMs that are left alone for a while."""
+"""VMs that get no requests for a while after a failed one."""
 
 from collections.abc import Callable
 
@@ -8,13 +8,13 @@
 
 
 class AvoidedVms:
-    """VMs that were asked in vain a moment ago.
+    """Set of VMs to which a request failed a moment ago.
 
     Parameters
     ==========
 
     seconds : float
-        For so long one is left alone.
+        Time that a VM stays in the set.
     now : callable
         Monotonic time in seconds.
 
@@ -40,7 +40,7 @@
     def add(
         self, member: members_module.Member, since: float | None = None
     ) -> None:
-        """Leave a VM alone, counted from a moment, or from now."""
+        """Add a VM; its time starts at ``since``, by default now."""
         if since is None:
             since = self._now()
         until = self._until_by_name.get(member.name, 0.0)
--- a/postspring/peering/failover.py
+++ b/postspring/peering/failover.py
@@ -1,4 +1,4 @@
-"""The log by way of another VM, while this one can't reach it."""
+"""Calls the log through another VM while this one can't reach it."""
 
 from collections.abc import Callable
 import logging
@@ -14,38 +14,39 @@
 
 LOG = logging.getLogger(__name__)
 
-# A direct call without an answer for this long is made by another VM as
-# well, in seconds: usual answers take 4 ms, the slow store's 0.25 s.
+# A direct call without a response for this long is hedged: another VM makes it
+# as well.  Usual responses take 4 ms, those of a slow store 0.25 s.
 HEDGE_SECONDS = 0.3
-# But not before it is late for what appends take of late: a slow log was taken
-# for one out of reach, and each call made twice.  At the latest after this
-# long, in seconds: a turn waits for 0.6 s.
-LONGEST_HEDGE_SECONDS = 0.5
-# An append is not made by another VM before this long while the log takes
-# other calls of this one, in seconds: made twice, appends of a slow log queue
-# up.  Its own time-out is 1.2 s.
-LONGEST_APPEND_SECONDS = 1.0
-# While the direct way fails, it is tried again this often, in seconds.
+# Appends are hedged later while they have lately taken long: a slow log
+# counted as unreachable, and each call was made twice.  This is the upper
+# bound; a turn waits for 0.6 s.
+MAX_HEDGE_SECONDS = 0.5
+# An append is not hedged before this time while the log accepts other calls of
+# this VM: appends that are made twice queue up in a slow log.  An append's own
+# timeout is 1.2 s.
+MAX_APPEND_HEDGE_SECONDS = 1.0
+# Interval of attempts by the direct path while it fails.
 PROBE_SECONDS = 0.5
-# The same for reads that have a bound, in seconds: their callers pause.
+# The same for reads of records that have to be known within a bound: their
+# callers pause between reads.
 BOUNDED_PROBE_SECONDS = 0.1
-# A VM that could not help is not asked for this long, in seconds.
+# Time for which a VM that could not help is not asked again.
 AVOID_SECONDS = 1.0
-# After so many failures without a success the whole log counts as out of
-# reach; before, the partitions that failed.
+# Failures in a row after which the whole log counts as unreachable by the
+# direct path, and not only the partitions that failed.
 FAILURES_IN_A_ROW = 3
-# A partition that no way leads to is only tried directly for this long, in
-# seconds: each call is paid for, failed ones too.
-PLACE_AWAY_SECONDS = 2.0
-# When calls have had no answer for this long the log counts as down, in
-# seconds.  Then calls fail at once but for one in each PROBE_SECONDS: all VMs
-# together would otherwise send it thousands of calls a second.
+# For this long, a partition that no path leads to is tried by the direct path
+# only: each call is billed, failed ones too.
+UNREACHABLE_SECONDS = 2.0
+# Time without any response after which the circuit breaker opens: calls fail
+# at once but for one in each PROBE_SECONDS.  All VMs together would otherwise
+# send an unreachable log thousands of calls a second.
 BREAKER_SECONDS = 0.5
-# A way that has been lost for this long is not expected back at once, in
-# seconds; the end of a turn waits about as long.
-LOST_SECONDS = 1.0
-# A log that has taken a call within this time and refuses others as too many
-# is busy; otherwise it turns this VM away.  In seconds.
+# A direct path that has been lost for longer is not expected back at once; the
+# end of a turn waits about as long.
+BRIEF_LOSS_SECONDS = 1.0
+# If the log has accepted a call within this time, its refusals for too many
+# calls mean that it is busy; otherwise that it turns this VM away.
 BUSY_SECONDS = 1.0
 
 
@@ -57,18 +58,18 @@
 
     direct : KeyedLog
         The log.
-    through : callable
+    log_via : callable
         Returns the log as reached through a member.
     members : callable
-        Returns the other VMs, best helpers first.
+        Returns the other VMs, the best helpers first.
     on_change : callable
-        Called when the direct way is lost, and when the log answers again.
+        Called when the direct path is lost, and when the log responds again.
     """
 
     def __init__(
         self,
         direct: keyedlog.KeyedLog,
-        through: Callable[[members_module.Member], keyedlog.KeyedLog],
+        log_via: Callable[[members_module.Member], keyedlog.KeyedLog],
         members: Callable[[], list[members_module.Member]],
         timers: timers_module.Timers,
         on_change: Callable[[], None] = lambda: None,
@@ -76,64 +77,65 @@
         self._on_change = on_change
         self._is_down = False
         self._helper: str | None = None
-        # Calls in a row that failed by all ways, by whether they were for the
-        # configuration: a partition that is away says nothing of that.
-        self.calls_in_vain = {True: 0, False: 0}
-        # When the first call was made that nothing has answered since.
+        # Calls in a row that failed by all paths, by whether they were for the
+        # configuration: that a partition is unreachable says nothing of the
+        # configuration.
+        self.failed_calls_in_a_row = {True: 0, False: 0}
+        # Start of the first call since which none was answered.
         self._unanswered_since: float | None = None
         self._answered_at = timers.now()
-        self._taken_at = -math.inf
+        self._direct_answered_at = -math.inf
         self._append_time = keyedlog.UsualTime()
         self.direct = direct
-        self._through = through
+        self._through = log_via
         self._members = members
         self._timers = timers
         self._failing_since: float | None = None
         self._failures_in_a_row = 0
         self._probed_at = -math.inf
-        self._way_probed_at = -math.inf
-        self._was_down = False
+        self._path_probed_at = -math.inf
+        self._has_failed_fast = False
         self._probed_at_by_place: dict[keyedlog.LogPlace, float] = {}
         self._avoided = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
-        self._away_until: dict[keyedlog.LogPlace, float] = {}
+        self._unreachable_until: dict[keyedlog.LogPlace, float] = {}
 
     @property
     def is_direct(self) -> bool:
-        """Whether the direct way leads to the log at all."""
+        """Whether the direct path leads to the log at all."""
         return self._failing_since is None
 
     @property
-    def takes_calls(self) -> bool:
-        """Whether the log has taken a call of this VM lately."""
-        return self._timers.now() - self._taken_at < BUSY_SECONDS
+    def accepts_calls(self) -> bool:
+        """Whether the log has lately answered a direct call of this VM."""
+        return self._timers.now() - self._direct_answered_at < BUSY_SECONDS
 
     @property
     def reaches_log(self) -> bool:
-        """Whether the direct way leads to the log, if not for each call.
+        """Whether the direct path leads to the log, if not for each call.
 
-        Answers that are lost one after the other look like a lost way, and
-        most interruptions are short: it counts as one that leads there for
-        as long as what is asked of this VM may wait for its return.
+        Several lost responses in a row look like a lost path, and most
+        interruptions are brief.  So a lost path counts as leading to the log
+        for as long as requests of other VMs may wait for its return.
         """
-        if self.is_direct or self.takes_calls:
+        if self.is_direct or self.accepts_calls:
             return True
-        return self._timers.now() - self._failing_since < LOST_SECONDS
+        return self._timers.now() - self._failing_since < BRIEF_LOSS_SECONDS
 
-    def has_taken_since(self, moment: float) -> bool:
-        """Whether the direct way has answered since a moment."""
-        return self._taken_at > moment
+    def has_answered_since(self, moment: float) -> bool:
+        """Return whether a direct call was answered since a moment."""
+        return self._direct_answered_at > moment
 
     @property
     def silence(self) -> float:
-        """Seconds since the log answered, by any way."""
+        """Seconds since the log responded, by any path."""
         return self._timers.now() - self._answered_at
 
     @property
     def is_broken(self) -> bool:
-        """Whether no way has led to the log for some time.
+        """Whether the circuit breaker is open: no path leads to the log.
 
-        Counted from a call that was not answered: a VM of many makes few
-        calls, and took its own rest for an outage.
+        The time counts from an unanswered call: one VM of many makes few
+        calls, and a pause between them is no outage.
         """
         since = self._unanswered_since
         if self.is_direct or since is None:
@@ -142,11 +144,11 @@
 
     @property
     def is_down(self) -> bool:
-        """Whether the last call failed, by all ways."""
+        """Whether the last call failed by all paths."""
         return self._is_down
 
     def append(self, place, entries, on_done, on_error) -> None:
-        """Append records, by one way or another."""
+        """Append records, by the direct path or through another VM."""
 
         def start(log, done, failed) -> None:
             began = self._timers.now()
@@ -158,39 +160,39 @@
 
             log.append(place, entries, appended, failed)
 
-        hedge = self._append_time.late_after(
-            HEDGE_SECONDS, LONGEST_HEDGE_SECONDS
+        hedge = self._append_time.late_after(HEDGE_SECONDS, MAX_HEDGE_SECONDS)
+        hedge_extension = hedge - HEDGE_SECONDS
+        append_extension = MAX_APPEND_HEDGE_SECONDS - hedge
+        self._call(
+            place, start, on_done, on_error, hedge_extension, append_extension
         )
-        longer = hedge - HEDGE_SECONDS
-        more = LONGEST_APPEND_SECONDS - hedge
-        self._call(place, start, on_done, on_error, longer, more)
 
     def read(self, place, start, on_page, on_error, wait=0.0) -> None:
-        """Read records, by one way or another.
+        """Read records, by the direct path or through another VM.
 
-        Only a way that works is read with a wait: reads that waited on a
-        lost way, and at VMs that were turned away as well, left VMs with
+        Only a working direct path is read with a wait: when reads waited on a
+        lost path, and at VMs that were turned away as well, some VMs had
         configurations that were 8 s old.
         """
-        if not self.works(place):
+        if not self.is_direct_usable(place):
             wait = 0.0
         began = self._timers.now()
 
         def begin(log, done, failed) -> None:
-            waits = log is self.direct and self.works(place)
-            way_wait = wait if waits else 0.0
+            waits = log is self.direct and self.is_direct_usable(place)
+            path_wait = wait if waits else 0.0
             later = self._timers.now() - began
 
             def take(page: keyedlog.LogPage) -> None:
                 known_after = page.known_after + later
                 done(page._replace(known_after=known_after))
 
-            log.read(place, start, take, failed, way_wait)
+            log.read(place, start, take, failed, path_wait)
 
         self._call(place, begin, on_page, on_error, wait)
 
     def read_newest(self, place, on_page, on_error) -> None:
-        """Read the newest records, by one way or another."""
+        """Read the newest records, by either path."""
 
         def start(log, done, failed) -> None:
             log.read_newest(place, done, failed)
@@ -198,25 +200,25 @@
         self._call(place, start, on_page, on_error)
 
     def _call(
-        self, place, start, on_done, on_error, wait=0.0, more=0.0
+        self, place, start, on_done, on_error, wait=0.0, extra_wait=0.0
     ) -> None:
         timeout = HEDGE_SECONDS + wait
         failover_call.FailoverCall(
-            self, place, start, on_done, on_error, timeout, more
+            self, place, start, on_done, on_error, timeout, extra_wait
         ).start()
 
-    # -- for calls ------------------------------------------------------------
+    # -- for FailoverCall -----------------------------------------------------
 
-    def note_asked(self) -> None:
+    def note_call(self) -> None:
         """Take note that a call begins."""
         if self._unanswered_since is None:
             self._unanswered_since = self._timers.now()
 
-    def fails_at_once(self, place: keyedlog.LogPlace) -> bool:
-        """Return whether a call should fail at once, for the log is down.
+    def should_fail_fast(self, place: keyedlog.LogPlace) -> bool:
+        """Return whether a call should fail at once, as the log is down.
 
-        The configuration is always asked for: it has to be in force soon
-        after the log's return, and its reads are few.
+        Reads of the configuration are always made: it has to be in force soon
+        after the log's return, and they are few.
         """
         if not self.is_broken:
             return False
@@ -224,25 +226,25 @@
             return False
         now = self._timers.now()
         if now - self._probed_at < PROBE_SECONDS:
-            self._was_down = True
+            self._has_failed_fast = True
             return True
         self._probed_at = now
         return False
 
-    def works(self, place: keyedlog.LogPlace) -> bool:
-        """Return whether the direct way works, as far as is known."""
+    def is_direct_usable(self, place: keyedlog.LogPlace) -> bool:
+        """Return whether the direct path works for a partition."""
         return self.is_direct and place not in self._probed_at_by_place
 
-    def try_direct(self, place: keyedlog.LogPlace) -> bool:
-        """Return whether a call should go the direct way.
+    def should_try_direct(self, place: keyedlog.LogPlace) -> bool:
+        """Return whether to make a call by the direct path.
 
-        Not while the partition, or the whole log, can't be reached that
-        way, but for a try now and then.  One that hangs keeps its caller
-        waiting until others are asked, so a lost way is tried once for all
-        partitions; but the reads that have a bound are few, and try it
+        While the partition, or the whole log, can't be reached directly, only
+        a probe now and then goes there.  A probe that hangs delays its caller
+        until other VMs are asked, so a lost path is probed once for all
+        partitions; but reads that have a bound are few, and probe it
         themselves.
         """
-        if self.works(place):
+        if self.is_direct_usable(place):
             return True
         now = self._timers.now()
         probed_at = self._probed_at_by_place.get(place, -math.inf)
@@ -250,45 +252,48 @@
         if keyedlog.is_bounded(place):
             pause = BOUNDED_PROBE_SECONDS
         elif not self.is_direct:
-            probed_at = max(probed_at, self._way_probed_at)
+            probed_at = max(probed_at, self._path_probed_at)
         if now - probed_at < pause:
             return False
-        self._probed_at_by_place[place] = self._way_probed_at = now
+        self._probed_at_by_place[place] = self._path_probed_at = now
         return True
 
     def direct_done(self, place: keyedlog.LogPlace) -> None:
-        """Take note that the direct way works."""
-        self._taken_at = self._timers.now()
+        """Take note that a direct call was answered."""
+        self._direct_answered_at = self._timers.now()
         self._failures_in_a_row = 0
         self._probed_at_by_place.pop(place, None)
         if self._failing_since is not None:
             seconds = self._timers.now() - self._failing_since
             self._failing_since = None
-            LOG.info("direct way back", extra={"seconds": round(seconds, 2)})
+            LOG.info(
+                "direct path to the log restored",
+                extra={"seconds": round(seconds, 2)},
+            )
             self._timers.call_later(0, self._on_change)
 
     def direct_failed(
         self, place: keyedlog.LogPlace, reason: str, sent_at: float
     ) -> None:
-        """Take note that a call by the direct way was not answered.
+        """Take note that a direct call was not answered.
 
-        If another one was since, the way is not lost: the partition may be
-        away, or the answer was lost.
+        If another one was answered since it was sent, the path is not lost:
+        the partition may be unreachable, or the response was lost.
         """
         now = self._timers.now()
         self._probed_at_by_place.setdefault(place, now)
-        if self.has_taken_since(sent_at):
+        if self.has_answered_since(sent_at):
             return
         self._failures_in_a_row += 1
         if self._failing_since is not None:
             return
         if self._failures_in_a_row >= FAILURES_IN_A_ROW:
             self._failing_since = now
-            LOG.info("direct way lost", extra={"reason": reason})
+            LOG.info("direct path to the log lost", extra={"reason": reason})
             self._timers.call_later(0, self._on_change)
 
     def direct_refused(self, place: keyedlog.LogPlace) -> None:
-        """Take note that the log, as busy as it is, refused a call."""
+        """Take note that the log refused a direct call because it is busy."""
         self._probed_at_by_place[place] = self._timers.now()
 
     def note_outcome(self, place: keyedlog.LogPlace, is_down: bool) -> None:
@@ -297,18 +302,18 @@
         if not is_down:
             self._answered_at = self._timers.now()
             self._unanswered_since = None
-            if self._was_down:
-                self._was_down = False
+            if self._has_failed_fast:
+                self._has_failed_fast = False
                 self._timers.call_later(0, self._on_change)
-            self._away_until.pop(place, None)
-        elif self._away_until.get(place, 0.0) <= self._timers.now():
-            until = self._timers.now() + PLACE_AWAY_SECONDS
-            self._away_until[place] = until
+            self._unreachable_until.pop(place, None)
+        elif self._unreachable_until.get(place, 0.0) <= self._timers.now():
+            until = self._timers.now() + UNREACHABLE_SECONDS
+            self._unreachable_until[place] = until
 
     def helpers(self, place: keyedlog.LogPlace) -> list[members_module.Member]:
-        """Return the VMs to ask for help with a partition."""
+        """Return the VMs to ask for help with a partition, best first."""
         now = self._timers.now()
-        is_away = self._away_until.get(place, 0.0) > now
+        is_away = self._unreachable_until.get(place, 0.0) > now
         if is_away and place.subject is not keyedlog.Subject.CONFIGURATION:
             return []
         found = [
@@ -319,23 +324,27 @@
 
     @property
     def has_helper(self) -> bool:
-        """Whether another VM has helped, and none has failed since."""
+        """Whether another VM has helped and has not failed since."""
         return self._helper is not None
 
     def note_helper(self, member: members_module.Member) -> None:
-        """Ask a VM that helped first, and alone, the next time."""
+        """Remember a VM that helped.
+
+        Until it fails, each call through other VMs asks it first, and alone.
+        """
         self._helper = member.name
 
-    def through(self, member: members_module.Member) -> keyedlog.KeyedLog:
+    def log_via(self, member: members_module.Member) -> keyedlog.KeyedLog:
         """Return the log as reached through a VM."""
         return self._through(member)
 
     def avoid(self, member: members_module.Member, asked_at: float) -> None:
-        """Don't ask a VM for a while that was asked in vain.
+        """Don't ask a VM that could not help again for a while.
 
-        Counted from the question: calls that hang on connections that fell
-        silent together end one after the other, and each one kept the only
-        helper away for 1 s more (a configuration known after 2.2 to 2.5 s).
+        The time counts from the request: calls that hang on connections which
+        fell silent together end one after the other, and each end kept the
+        only helper avoided for 1 s more (a new configuration was known after
+        2.2 to 2.5 s).
         """
         if member.name == self._helper:
             self._helper = None
@@ -346,5 +355,5 @@
         return self._timers.now()
 
     def call_later(self, seconds: float, function: Callable):
-        """Call a function later."""
+        """Call a function after some seconds."""
         return self._timers.call_later(seconds, function)
--- a/postspring/peering/failover_call.py
+++ b/postspring/peering/failover_call.py
@@ -1,4 +1,4 @@
-"""One call to the log, by the first way that leads there."""
+"""One call to the log, by the first path that leads there."""
 
 import functools
 
@@ -7,55 +7,57 @@
 
 __all__ = ["FailoverCall"]
 
-# Then a call is given up after this long, in seconds: above the hedge, and
-# below the store's own time-out, so that the next one is soon made.
-BROKEN_READ_TIMEOUT_SECONDS = 0.5
-# VMs that are asked to help with a call, one after the other: with two thirds
-# of the VMs turned away one of so many helps in 24 of 25 calls (by chance, if
-# none knows that it is).  With two, and a third turned away, one call in eight
-# was in vain, and its partition then away for 2 s.
+# Timeout of a call while the circuit breaker is open: longer than the hedge,
+# and shorter than the store's own timeout, so that the next call soon follows.
+OUTAGE_TIMEOUT_SECONDS = 0.5
+# VMs that are asked to help with a call, one after the other.  With two thirds
+# of the VMs turned away, one of this many helps in 24 of 25 calls (by chance,
+# if none is known to be able to).  With two, and a third turned away, one call
+# in eight failed, and its partition then counted as unreachable for 2 s.
 MAX_HELPERS = 8
-# A call that the busy log refused would be one too many from others as well,
-# but for the configuration, which has to come within a bound.
-BUSY_HELPERS = 2
-# VMs asked for the configuration at the same time while none has helped
-# lately.
+# VMs asked after the busy log refused a call.  The call would be one too many
+# from other VMs as well, so only reads of the configuration, which has to be
+# known within a bound, are made through them.
+MAX_BUSY_HELPERS = 2
+# VMs asked for the configuration in parallel while none has helped lately.
 CONFIGURATION_HELPERS_AT_ONCE = 3
-# After so many calls in a row that nobody could help with, the log is away for
-# all: one VM is asked then, for each message costs processor time.
-CALLS_IN_VAIN = 2
-# A read of what has to be known within a bound is sent once more on another
-# connection each time that it was not answered for this long, in seconds, and
-# so often in all.
-NEXT_TRY_SECONDS = 0.3
-MOST_TRIES = 3
-# A VM that was asked for the configuration and has not answered for this
-# long may itself be turned away: the next one is asked too, in seconds.
-NEXT_HELPER_SECONDS = 0.1
-# The same for other calls: above the slow store's answer, as appends that are
-# made twice are paid for twice.
-NEXT_HELPER_FOR_OTHERS_SECONDS = 0.3
+# After this many calls in a row with which no VM could help, the log counts as
+# unreachable for all VMs: only one is asked then, as each message costs
+# processor time.
+OUTAGE_CALLS = 2
+# A read of records that have to be known within a bound is sent again on
+# another connection after each such time without a response, and at most
+# MAX_DIRECT_TRIES times in all.
+DIRECT_RETRY_SECONDS = 0.3
+MAX_DIRECT_TRIES = 3
+# A VM that was asked for the configuration and has not responded for this long
+# may be turned away itself: the next one is asked as well.
+CONFIGURATION_HEDGE_SECONDS = 0.1
+# The same for other calls: longer than the slow store's response, as appends
+# that are made twice are billed twice.
+HELPER_HEDGE_SECONDS = 0.3
 
 
 class FailoverCall:
-    """One call; the first way that succeeds ends it.
+    """One call; the first path that succeeds ends it.
 
     Parameters
     ==========
 
     log : FailoverLog
-        Knows the ways.
+        State of the paths.
     start : callable
-        Begins the call on a log, with who takes the result or the error.
+        Begins the call on a log, with callbacks for the result and the error.
     timeout : float
-        Seconds after which other ways are tried as well.
-    more : float
-        So much later, if the direct way took another call meanwhile: then
-        it is slow and not lost, and by another VM it would be as slow.
+        Seconds after which other paths are tried as well.
+    extra_wait : float
+        Additional seconds if the log answered another direct call since this
+        one began: then it is slow and not lost, and would be as slow for
+        another VM.
     """
 
     def __init__(
-        self, log, place, start, on_done, on_error, timeout, more=0.0
+        self, log, place, start, on_done, on_error, timeout, extra_wait=0.0
     ):
         self._log = log
         self._place = place
@@ -63,46 +65,50 @@
         self._on_done = on_done
         self._on_error = on_error
         self._timeout = timeout
-        self._more = more
+        self._extra_wait = extra_wait
         self._began = self._sent_at = log.now()
         self._is_configuration = (
             place.subject is keyedlog.Subject.CONFIGURATION
         )
         self._is_bounded = keyedlog.is_bounded(place)
         self._tries = 0
-        self._open = 0
+        self._pending = 0
         self._helpers: list[members_module.Member] | None = None
-        self._asked = 0
-        self._replaced: set[str] = set()
+        self._helpers_asked = 0
+        self._late_helpers: set[str] = set()
         self._busy: keyedlog.LogBusy | None = None
         self._finished = False
-        self._timer = None
-        self._limit = None
+        self._hedge_timer = None
+        self._outage_timer = None
 
     def start(self) -> None:
-        """Go the direct way if it may work, else through another VM.
+        """Use the direct path if it may work, else another VM.
 
-        While the log does not answer at all, a call that hangs would keep
-        the next one from hearing that it is back.
+        While the log does not respond at all, a call that hangs would delay
+        the discovery that it is back, so calls have a shorter timeout then.
         """
-        self._log.note_asked()
+        self._log.note_call()
         if self._log.is_broken:
-            self._limit = self._log.call_later(
-                BROKEN_READ_TIMEOUT_SECONDS, self._give_up
+            self._outage_timer = self._log.call_later(
+                OUTAGE_TIMEOUT_SECONDS, self._give_up
             )
-        if self._log.fails_at_once(self._place):
+        if self._log.should_fail_fast(self._place):
             error = keyedlog.LogDown("down")
             self._log.call_later(0, functools.partial(self._fail, error))
-        elif self._log.try_direct(self._place):
-            if self._is_configuration and not self._log.works(self._place):
-                self._timeout = NEXT_HELPER_SECONDS
-            self._timer = self._log.call_later(self._timeout, self._overdue)
+        elif self._log.should_try_direct(self._place):
+            if self._is_configuration and not self._log.is_direct_usable(
+                self._place
+            ):
+                self._timeout = CONFIGURATION_HEDGE_SECONDS
+            self._hedge_timer = self._log.call_later(
+                self._timeout, self._direct_overdue
+            )
             self._send_direct()
         else:
-            self._ask(keyedlog.LogUnavailable("direct way lost"))
+            self._ask_helpers(keyedlog.LogUnavailable("direct way lost"))
 
     def _send_direct(self) -> None:
-        self._open += 1
+        self._pending += 1
         self._tries += 1
         self._sent_at = self._log.now()
         self._start(self._log.direct, self._direct_done, self._direct_failed)
@@ -112,60 +118,65 @@
         self._done(result)
 
     def _direct_failed(self, error: keyedlog.KeyedLogError) -> None:
-        self._open -= 1
-        if self._timer is not None:
-            # It would count the same failure once more, as a slow log.
-            self._timer.cancel()
+        self._pending -= 1
+        if self._hedge_timer is not None:
+            # The timer would count the same failure again, as a slow response.
+            self._hedge_timer.cancel()
         if isinstance(error, keyedlog.LogExpired):
             self._log.direct_done(self._place)
             self._fail(error)
             return
-        if isinstance(error, keyedlog.LogBusy) and self._log.takes_calls:
-            self._too_many(error)
+        if isinstance(error, keyedlog.LogBusy) and self._log.accepts_calls:
+            self._refused_as_busy(error)
             return
         self._log.direct_failed(self._place, str(error), self._sent_at)
-        self._ask(error)
+        self._ask_helpers(error)
 
-    def _too_many(self, error: keyedlog.LogBusy) -> None:
-        """The log takes other calls of this VM, but not this one.
+    def _refused_as_busy(self, error: keyedlog.LogBusy) -> None:
+        """Handle a refusal while the log accepts other calls of this VM.
 
-        From another VM it would be one too many as well, unless the log
-        turns just these away: the configuration was not heard for as long
-        as it did.  Its reads are few, so a few more don't keep a log busy.
+        The call would be one too many from another VM as well, unless the log
+        refuses only this VM's reads of the configuration, which then stayed
+        outdated for as long as that lasted.  These reads are few, so a few
+        more don't overload the log.
         """
         self._busy = error
         if not self._is_configuration:
             self._fail(error)
             return
         self._log.direct_refused(self._place)
-        self._ask(error)
+        self._ask_helpers(error)
 
-    def _overdue(self) -> None:
+    def _direct_overdue(self) -> None:
         if self._finished:
             return
-        worked = self._log.works(self._place)
-        # One that failed before is only tried: it may be lost to this VM
+        was_usable = self._log.is_direct_usable(self._place)
+        # A path that failed before is only probed: it may be lost for this VM
         # alone, and each append of a partition would wait for that.
-        is_slow = worked and self._log.has_taken_since(self._began)
-        if self._more and is_slow:
-            more, self._more = self._more, 0.0
-            self._timer = self._log.call_later(more, self._overdue)
+        is_slow = was_usable and self._log.has_answered_since(self._began)
+        if self._extra_wait and is_slow:
+            extra_wait, self._extra_wait = self._extra_wait, 0.0
+            self._hedge_timer = self._log.call_later(
+                extra_wait, self._direct_overdue
+            )
             return
         self._log.direct_failed(self._place, "slow", self._sent_at)
-        if self._is_bounded and (worked or self._tries > 1):
-            self._try_again()
-        self._ask(keyedlog.LogUnavailable("slow"))
+        if self._is_bounded and (was_usable or self._tries > 1):
+            self._retry_directly()
+        self._ask_helpers(keyedlog.LogUnavailable("slow"))
 
-    def _try_again(self) -> None:
-        """Read once more: the connection may be silent, and not the log.
+    def _retry_directly(self) -> None:
+        """Read again: the connection may be silent, and not the log.
 
-        A VM that was alone heard of a configuration, and of upstreams that
-        left, at the call's time-out.
+        A VM that has no others to ask would learn of a configuration, and of
+        upstreams that left, only after the call's timeout.
         """
-        if self._tries < MOST_TRIES:
-            self._timer = self._log.call_later(NEXT_TRY_SECONDS, self._overdue)
+        if self._tries < MAX_DIRECT_TRIES:
+            self._hedge_timer = self._log.call_later(
+                DIRECT_RETRY_SECONDS, self._direct_overdue
+            )
             self._send_direct()
-        elif not self._asked:
+        elif not self._helpers_asked:
             self._give_up()
 
     def _give_up(self) -> None:
@@ -174,8 +185,8 @@
 
     # -- other VMs ------------------------------------------------------------
 
-    def _ask(self, error: keyedlog.KeyedLogError) -> None:
-        """Try the next helper; without one, the call has failed."""
+    def _ask_helpers(self, error: keyedlog.KeyedLogError) -> None:
+        """Ask the next helpers; fail if there is none left to wait for."""
         if self._finished:
             return
         at_once = 1
@@ -184,81 +195,89 @@
             self._helpers = self._log.helpers(self._place)[:most]
             at_once = self._helpers_at_once(most)
         if not self._helpers and self._has_failed():
-            self._log.calls_in_vain[self._is_configuration] += 1
+            self._log.failed_calls_in_a_row[self._is_configuration] += 1
             self._fail(self._busy or error)
             return
         asked, self._helpers = self._helpers[:at_once], self._helpers[at_once:]
         for member in asked:
-            self._ask_member(member)
+            self._ask_helper(member)
 
     def _most_helpers(self) -> int:
         if self._busy is not None:
-            return BUSY_HELPERS
-        if self._log.calls_in_vain[self._is_configuration] >= CALLS_IN_VAIN:
+            return MAX_BUSY_HELPERS
+        if (
+            self._log.failed_calls_in_a_row[self._is_configuration]
+            >= OUTAGE_CALLS
+        ):
             return 1
         return MAX_HELPERS
 
     def _helpers_at_once(self, most: int) -> int:
         """Return how many VMs are asked first; several if none is known."""
-        knows_nobody = most == MAX_HELPERS and not self._log.has_helper
-        if self._is_configuration and knows_nobody:
+        has_no_helper = most == MAX_HELPERS and not self._log.has_helper
+        if self._is_configuration and has_no_helper:
             return CONFIGURATION_HELPERS_AT_ONCE
         return 1
 
     def _has_failed(self) -> bool:
-        """Return whether there is nothing left to wait for.
+        """Return whether there is no response left to wait for.
 
         For the configuration, VMs that were asked and are late may all be
-        turned away, and so may this one: the next call asks others.
+        turned away like this one: the next call asks others.
         """
-        if not self._open:
+        if not self._pending:
             return True
-        all_late = self._asked > 0 and len(self._replaced) == self._asked
+        all_late = (
+            self._helpers_asked > 0
+            and len(self._late_helpers) == self._helpers_asked
+        )
         return self._is_configuration and all_late
 
-    def _ask_member(self, member: members_module.Member) -> None:
-        self._open += 1
-        self._asked += 1
+    def _ask_helper(self, member: members_module.Member) -> None:
+        self._pending += 1
+        self._helpers_asked += 1
         asked_at = self._log.now()
 
         def failed(error: keyedlog.KeyedLogError) -> None:
-            self._open -= 1
+            self._pending -= 1
             if isinstance(error, keyedlog.LogExpired):
                 self._fail(error)
                 return
             self._log.avoid(member, asked_at)
-            if member.name not in self._replaced:
-                self._replaced.add(member.name)
-                self._ask(error)
-            elif not self._open:
-                self._ask(error)
+            if member.name not in self._late_helpers:
+                self._late_helpers.add(member.name)
+                self._ask_helpers(error)
+            elif not self._pending:
+                self._ask_helpers(error)
 
-        seconds = NEXT_HELPER_FOR_OTHERS_SECONDS
+        seconds = HELPER_HEDGE_SECONDS
         if self._is_configuration:
-            seconds = NEXT_HELPER_SECONDS
+            seconds = CONFIGURATION_HEDGE_SECONDS
         self._log.call_later(
-            seconds, functools.partial(self._replace, member, asked_at)
+            seconds, functools.partial(self._helper_overdue, member, asked_at)
         )
 
         def done(result) -> None:
             self._log.note_helper(member)
             self._done(result)
 
-        self._start(self._log.through(member), done, failed)
+        self._start(self._log.log_via(member), done, failed)
 
-    def _replace(self, member: members_module.Member, asked_at: float) -> None:
-        """Ask another VM as well: this one has not answered yet."""
-        if self._finished or member.name in self._replaced:
+    def _helper_overdue(
+        self, member: members_module.Member, asked_at: float
+    ) -> None:
+        """Ask another VM as well, as this one has not responded yet."""
+        if self._finished or member.name in self._late_helpers:
             return
-        self._replaced.add(member.name)
+        self._late_helpers.add(member.name)
         self._log.avoid(member, asked_at)
-        self._ask(keyedlog.LogUnavailable("slow"))
+        self._ask_helpers(keyedlog.LogUnavailable("slow"))
 
     # -- the end --------------------------------------------------------------
 
     def _done(self, result) -> None:
         self._log.note_outcome(self._place, is_down=False)
-        self._log.calls_in_vain[self._is_configuration] = 0
+        self._log.failed_calls_in_a_row[self._is_configuration] = 0
         if not self._finished:
             self._finish()
             self._on_done(result)
@@ -267,7 +286,7 @@
         if not self._tries:
             # Other VMs could not help, which says nothing of the log.
             error.shows_away = False
-        # A busy log is not away: others may be spending by it.
+        # A busy log is not down: other VMs may still charge programs in it.
         if not isinstance(error, keyedlog.LogBusy):
             is_down = not isinstance(error, keyedlog.LogExpired)
             self._log.note_outcome(self._place, is_down)
@@ -277,6 +296,6 @@
 
     def _finish(self) -> None:
         self._finished = True
-        for timer in (self._timer, self._limit):
+        for timer in (self._hedge_timer, self._outage_timer):
             if timer is not None:
                 timer.cancel()
--- a/postspring/peering/holders.py
+++ b/postspring/peering/holders.py
@@ -1,4 +1,4 @@
-"""Other VMs that keep records, or write them, for this one."""
+"""Other VMs that keep copies of this VM's records, or append them."""
 
 from collections.abc import Callable
 
@@ -11,17 +11,17 @@
 
 __all__ = ["Holders"]
 
-# VMs answer each other in a few ms; one that has not by then is slow, dead
-# or cut off.  In seconds.
-KEEP_SECONDS = 0.25
-# Nobody waits for what a VM that stops hands over; in seconds.
-HAND_OVER_SECONDS = 1.0
-# A VM that did not keep a record is asked last for this long, in seconds.
+# VMs respond to each other in a few ms; one that has not responded by then is
+# slow, dead or cut off.
+KEEP_TIMEOUT_SECONDS = 0.25
+# No caller waits for the records that a VM hands over when it shuts down.
+HAND_OVER_TIMEOUT_SECONDS = 1.0
+# A VM that failed to keep a record is asked last for this long.
 AVOID_SECONDS = 1.0
 
 
 class Holders(histories.ReplicaHolders):
-    """The VMs that take what this one can't write to the log.
+    """The other VMs as holders of records that this VM can't append.
 
     Parameters
     ==========
@@ -29,27 +29,28 @@
     http : HttpClient
         Carries the requests.
     members : Members
-        Whom to ask.
-    silent : AvoidedVms
-        Those that did not answer a moment ago, whatever they were asked.
+        The list of VMs.
+    unresponsive : AvoidedVms
+        VMs that did not respond to a request of any kind a moment ago.
     timers : Timers
-        For leaving VMs alone.
+        Time, and delays of requests.
     """
 
     def __init__(
         self,
         http: transport.HttpClient,
         members: members_module.Members,
-        silent: avoidance.AvoidedVms,
+        unresponsive: avoidance.AvoidedVms,
         timers: transport.Timers,
     ):
         self._http = http
         self._members = members
-        self._silent = silent
-        self._not_keeping = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
-        # Incarnations that said so; a few for each time the fleet is rolled.
+        self._unresponsive = unresponsive
+        self._refusing = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
+        # Incarnations that reported their shutdown; a few for each rolling
+        # restart of the fleet.
         self._stopping: set[str] = set()
-        self._recorders = recorders.Recorders(http, timers)
+        self._recorder = recorders.RemoteRecorder(http, timers)
 
     def keep(
         self,
@@ -57,25 +58,28 @@
         on_done: Callable[[int], None],
         is_log_away: bool = False,
     ) -> None:
-        """Give a copy to the nearest VM and to others elsewhere."""
+        """Send a copy to the nearest VM and to some of other data centres."""
         holders = self._replica_holders()
-        # Of a turn that others keep its author is asked, if they know it.
+        # A VM that finds copies of a turn asks the turn's author about it, and
+        # can do so only if the author is on its list of VMs.
         if not holders or not self._members.is_announced:
             on_done(0)
             return
         first, rest = (
-            holders[: replicas.REPLICAS_ASKED],
-            holders[replicas.REPLICAS_ASKED :],
+            holders[: replicas.PARALLEL_REQUESTS],
+            holders[replicas.PARALLEL_REQUESTS :],
         )
-        rest = [member for member in rest if not self._keeps_nothing(member)]
-        replicas.Replicas(
+        rest = [
+            member for member in rest if not self._is_unlikely_holder(member)
+        ]
+        replicas.ReplicationCall(
             self._http,
             first + rest,
             False,
-            self._recorders.reachers.note,
-            self._not_kept,
+            self._recorder.with_log.note,
+            self._copy_failed,
             on_done,
-        ).send([record], KEEP_SECONDS, is_log_away)
+        ).send([record], KEEP_TIMEOUT_SECONDS, is_log_away)
 
     def record(
         self,
@@ -83,48 +87,49 @@
         timeout: float,
         on_done: Callable[[bool], None],
     ) -> None:
-        """Have turns recorded by VMs that said that they reach the log."""
-        self._recorders.record(turns, timeout, on_done)
+        """Have turns appended by VMs that reported that they reach the log."""
+        self._recorder.record(turns, timeout, on_done)
 
     def hand_over(
         self, records: list[bytes], on_done: Callable[[bool], None]
     ) -> None:
-        """Give records to two VMs that stay, or to the only one.
+        """Send records to two VMs that stay up, or to the only one.
 
-        One that does not answer may be paused: they are offered again.  One
-        that stops takes none, however often it is asked: when all did, they
-        sent each other all that they had four times a second.
+        A VM that does not respond may be paused, and gets the records again at
+        the next attempt.  One that is shutting down is never asked again: when
+        all VMs shut down together, each sent all its records to the others
+        four times a second.
         """
         holders = [
             member
             for member in self._replica_holders()
             if member.incarnation not in self._stopping
         ]
-        enough = max(1, min(replicas.ENOUGH_COPIES, len(holders)))
-        replicas.Replicas(
+        enough = max(1, min(replicas.TARGET_COPIES, len(holders)))
+        replicas.ReplicationCall(
             self._http,
             holders,
             True,
-            self._recorders.reachers.note,
-            self._not_kept,
+            self._recorder.with_log.note,
+            self._copy_failed,
             lambda copies: on_done(copies >= enough),
-        ).send(records, HAND_OVER_SECONDS)
+        ).send(records, HAND_OVER_TIMEOUT_SECONDS)
 
     # -- own ------------------------------------------------------------------
 
     def _replica_holders(self) -> list[members_module.Member]:
         here = self._members.own.data_center
-        return replicas.in_order(
-            self._members.others, here, self._keeps_nothing
+        return replicas.holder_order(
+            self._members.others, here, self._is_unlikely_holder
         )
 
-    def _not_kept(
+    def _copy_failed(
         self, member: members_module.Member, is_stopping: bool
     ) -> None:
         if is_stopping:
             self._stopping.add(member.incarnation)
-        self._not_keeping.add(member)
+        self._refusing.add(member)
 
-    def _keeps_nothing(self, member: members_module.Member) -> bool:
-        """Whether a VM did not keep a record a moment ago: it may stop."""
-        return member in self._not_keeping or member in self._silent
+    def _is_unlikely_holder(self, member: members_module.Member) -> bool:
+        """Return whether a VM has failed to keep a record a moment ago."""
+        return member in self._refusing or member in self._unresponsive
--- a/postspring/peering/isolation.py
+++ b/postspring/peering/isolation.py
@@ -1,4 +1,4 @@
-"""Whether this VM is cut off from the log and from other data centres."""
+"""Detects that the log and all other data centres are unreachable."""
 
 from collections.abc import Callable
 import logging
@@ -12,48 +12,50 @@
 
 LOG = logging.getLogger(__name__)
 
-# How often VMs elsewhere are asked while the direct way to the log is lost,
-# and how long an answer may take; VMs answer each other in a few ms.
-CHECK_SECONDS = 0.1
-ANSWER_SECONDS = 0.2
-# Rounds in a row without an answer; a single one may meet VMs that restart.
-SILENT_ROUNDS = 2
-# Asked at the same time; one answer is enough.
-ASKED_VMS = 4
-# A VM that another one helps hears from the log within this time after the
-# direct way was lost, in seconds.
+# Interval of the probes of other VMs while the direct path to the log is lost,
+# and their timeout; VMs respond to each other in a few ms.
+CHECK_INTERVAL_SECONDS = 0.1
+PROBE_TIMEOUT_SECONDS = 0.2
+# Failed rounds in a row that mean isolation; a single one may have met VMs
+# that were restarting.
+FAILED_ROUNDS = 2
+# VMs probed in parallel; one response is enough.
+PROBED_VMS = 4
+# A VM that calls the log through another one gets a response within this time
+# after the loss of its direct path.
 SILENCE_SECONDS = 0.3
-# The balancer asks once a second and needs two refusals; callers that come
-# after this many seconds have no other way in.
+# The load balancer probes readiness once a second and needs two refusals, so
+# callers that still arrive after this time can't be served elsewhere.
 SENT_AWAY_SECONDS = 3.0
-# How long what waited behind a cut takes to be recorded, in seconds.
-CATCH_UP_SECONDS = 10.0
+# Time that it takes to append the records which a cut has delayed.
+RECENT_SECONDS = 10.0
 
 
 class Isolation:
-    """Tells when callers are better served by another data centre.
+    """Tells when other data centres can serve callers better.
 
     Explanation
     ===========
 
-    In a cut-off data centre neither records nor most upstreams can be
-    reached, while every other one can go on with the same programs: their
-    turns are in the log.  So the VM says that it is not ready, which makes
-    the balancer send callers elsewhere, and asks those that still come to
-    do so for as long as that takes.  Whoever comes later has no other way
-    and is served with what there is.
+    In a data centre that is cut off, neither the log nor most upstreams can be
+    reached, while every other data centre can continue the same programs from
+    the turns in the log.  So the VM reports that it isn't ready, which makes
+    the load balancer use other data centres, and tells callers that still
+    arrive to retry, for as long as the balancer takes for that.  Callers that
+    arrive later can't be served elsewhere, and get what this VM can do.
 
-    If the log is away for everybody, other VMs answer and nothing changes.
+    If the log is unreachable for all VMs, other VMs respond to the probes and
+    none of this applies.
 
     Parameters
     ==========
 
     members : Members
-        Whom to ask; those of other data centres if there are any.
+        The VMs to probe; those of other data centres if there are any.
     is_direct : callable
-        Returns whether the direct way leads to the log.
+        Returns whether the direct path leads to the log.
     silence : callable
-        Returns the seconds since the log answered, by any way.
+        Returns the seconds since the log responded, by any path.
     """
 
     def __init__(
@@ -71,27 +73,27 @@
         self._silence = silence
         self._began_at = math.inf
         self._ended_at = -math.inf
-        self._is_asking = False
-        self._silent_rounds = 0
+        self._is_probing = False
+        self._failed_rounds = 0
 
     def start(self) -> None:
-        """Begin to watch."""
-        self._timers.call_every(CHECK_SECONDS, self._check)
+        """Start the periodic checks."""
+        self._timers.call_every(CHECK_INTERVAL_SECONDS, self._check)
 
     @property
     def is_isolated(self) -> bool:
-        """Whether neither the log nor another data centre answers."""
+        """Whether neither the log nor another data centre responds."""
         return self._began_at < math.inf
 
     @property
     def was_isolated(self) -> bool:
-        """Whether this VM is, or was until shortly, cut off."""
+        """Whether this VM is isolated, or was until a few seconds ago."""
         since = self._timers.now() - self._ended_at
-        return self.is_isolated or since < CATCH_UP_SECONDS
+        return self.is_isolated or since < RECENT_SECONDS
 
     @property
     def sends_away(self) -> bool:
-        """Whether callers should come back by way of the balancer."""
+        """Whether callers should retry through the load balancer."""
         if not self.is_isolated:
             return False
         return self._timers.now() - self._began_at < SENT_AWAY_SECONDS
@@ -100,39 +102,44 @@
 
     def _check(self) -> None:
         if self._is_direct():
-            self._silent_rounds = 0
+            self._failed_rounds = 0
             self._end("log")
             return
-        asked = self._whom_to_ask()
-        if asked and not self._is_asking:
-            self._is_asking = True
-            _Round(self._http, asked, self._answered, self._nobody).start()
-
-    def _whom_to_ask(self) -> list[members_module.Member]:
-        """Return some VMs elsewhere, of as many data centres as there are."""
+        targets = self._probe_targets()
+        if targets and not self._is_probing:
+            self._is_probing = True
+            _ProbeRound(
+                self._http, targets, self._probe_answered, self._round_failed
+            ).start()
+
+    def _probe_targets(self) -> list[members_module.Member]:
+        """Return some VMs elsewhere, of as many data centres as possible."""
         others = self._members.others
         here = self._members.own.data_center
         far = [member for member in others if member.data_center != here]
-        first_by_place = {member.data_center: member for member in far}
-        first = list(first_by_place.values())
+        first_by_data_center = {member.data_center: member for member in far}
+        first = list(first_by_data_center.values())
         rest = [member for member in far or others if member not in first]
-        return (first + rest)[:ASKED_VMS]
+        return (first + rest)[:PROBED_VMS]
 
-    def _answered(self) -> None:
-        self._is_asking = False
-        self._silent_rounds = 0
+    def _probe_answered(self) -> None:
+        self._is_probing = False
+        self._failed_rounds = 0
         self._end("vm")
 
-    def _nobody(self) -> None:
-        self._is_asking = False
-        self._silent_rounds += 1
+    def _round_failed(self) -> None:
+        self._is_probing = False
+        self._failed_rounds += 1
         silence = self._silence()
         if self.is_isolated or self._is_direct() or silence < SILENCE_SECONDS:
             return
-        if self._silent_rounds < SILENT_ROUNDS:
+        if self._failed_rounds < FAILED_ROUNDS:
             return
         self._began_at = self._timers.now()
-        LOG.warning("cut off", extra={"log_silent": round(silence, 2)})
+        LOG.warning(
+            "isolated from the log and other data centres",
+            extra={"log_silent": round(silence, 2)},
+        )
 
     def _end(self, by: str) -> None:
         if not self.is_isolated:
@@ -141,38 +148,38 @@
         self._began_at = math.inf
         self._ended_at = self._timers.now()
         extra = {"answered": by, "seconds": round(seconds, 2)}
-        LOG.info("not cut off any more", extra=extra)
+        LOG.info("isolation ended", extra=extra)
 
 
-class _Round:
-    """Asks some VMs; tells if one answered, or that none did."""
+class _ProbeRound:
+    """Probes some VMs; reports each response, or that none came."""
 
     def __init__(
         self,
         http: transport.HttpClient,
-        asked: list[members_module.Member],
+        targets: list[members_module.Member],
         on_answer: Callable[[], None],
-        on_nobody: Callable[[], None],
+        on_failure: Callable[[], None],
     ):
         self._http = http
-        self._asked = asked
+        self._targets = targets
         self._on_answer = on_answer
-        self._on_nobody = on_nobody
-        self._failed = 0
+        self._on_failure = on_failure
+        self._failures = 0
 
     def start(self) -> None:
-        """Ask all of them."""
-        for member in self._asked:
+        """Send all probes."""
+        for member in self._targets:
             request = messages.request_to(
-                member.peers, messages.PING_PATH, b"", ANSWER_SECONDS
+                member.peers, messages.PING_PATH, b"", PROBE_TIMEOUT_SECONDS
             )
             collector = transport.AnswerCollector(
                 lambda status, body: self._on_answer(),
-                lambda error: self._count(),
+                lambda error: self._probe_failed(),
             )
             self._http.send(request, collector)
 
-    def _count(self) -> None:
-        self._failed += 1
-        if self._failed == len(self._asked):
-            self._on_nobody()
+    def _probe_failed(self) -> None:
+        self._failures += 1
+        if self._failures == len(self._targets):
+            self._on_failure()
--- a/postspring/peering/loads.py
+++ b/postspring/peering/loads.py
@@ -1,11 +1,11 @@
-"""Loads: what all VMs together have in flight at upstreams.
-
-A VM tells one VM of its data centre, the collector, what it has in flight,
-and is answered with what all others have.  Collectors tell each other the
-sums of their data centres.  So a VM sends a few messages a second, whatever
-the number of VMs, and a collector as many for each VM of its data centre.
-Who collects follows from the list of VMs; nothing is agreed on, and while
-nobody answers, a VM goes by its own calls.
+"""Loads: the calls that all VMs together have in flight at upstreams.
+
+A VM reports its calls in flight to one VM of its data centre, the collector,
+which responds with those of all others.  Collectors send each other the sums
+of their data centres.  So a VM sends a few messages a second whatever the
+number of VMs, and a collector receives as many from each VM of its data
+centre.  The collector is computed from the list of VMs, without any agreement;
+while it does not respond, a VM uses only its own calls.
 """
 
 from collections.abc import Callable
@@ -19,24 +19,23 @@
 from postspring.peering import avoidance
 from postspring.peering import members as members_module
 from postspring.peering import messages
-from postspring.peering import sightings as sightings_module
+from postspring.peering import sightings as suspicion_module
 from postspring import transport
 from postspring.transport import timers as timers_module
 from postspring import upstreams
 
 __all__ = ["LoadCollector", "LoadExchange", "collector_of"]
 
-# Pause between two reports, in seconds.  In the model of 66 VMs in a burst
-# 99% of programs were on time with it, 87% without any (six seeds each).
-EXCHANGE_SECONDS = 0.2
-# A report says nothing after this long, in seconds: two may get lost.
-REPORT_SECONDS = 0.7
-# A collector that does not answer within this time is left alone for a
-# while; seconds.
-ANSWER_SECONDS = 0.15
+# Interval of reports.  In a model of 66 VMs under a burst 99% of programs were
+# on time with it, 87% without any exchange (six seeds each).
+REPORT_INTERVAL_SECONDS = 0.2
+# Age up to which a report counts: two in a row may be lost.
+REPORT_VALID_SECONDS = 0.7
+# A collector that has not responded by then is not asked for AVOID_SECONDS.
+ANSWER_TIMEOUT_SECONDS = 0.15
 AVOID_SECONDS = 3.0
-# How long a VM without calls goes on reporting, in seconds: others have to
-# hear that it has none, and it has to know the load when calls come again.
+# Time that a VM without calls continues to report: others have to learn that
+# it has none, and it needs the load when calls arrive again.
 IDLE_SECONDS = 2.0
 
 Calls = dict[str, int]
@@ -45,7 +44,7 @@
 def collector_of(
     members: list[members_module.Member], data_center: str
 ) -> members_module.Member | None:
-    """Return the VM that collects a data centre's loads, the same for all.
+    """Return the collector of a data centre: every VM computes the same.
 
     Examples
     --------
@@ -65,7 +64,7 @@
 
 
 class LoadCollector:
-    """Adds reports up, and forgets those that are old.
+    """Sums up reports, and drops outdated ones.
 
     Parameters
     ==========
@@ -77,10 +76,10 @@
     ========
 
     >>> collector = LoadCollector(lambda: 0.0)
-    >>> collector.take("vm-a", False, {"u": 2})
-    >>> collector.take("vm-b", False, {"u": 3, "v": 1})
-    >>> collector.take("d2", True, {"u": 4})
-    >>> collector.others("vm-b"), collector.own_sum()
+    >>> collector.add_report("vm-a", False, {"u": 2})
+    >>> collector.add_report("vm-b", False, {"u": 3, "v": 1})
+    >>> collector.add_report("d2", True, {"u": 4})
+    >>> collector.calls_except("vm-b"), collector.data_center_sum()
     ({'u': 6}, {'u': 5, 'v': 1})
     """
 
@@ -90,21 +89,23 @@
             tuple[str, bool], tuple[float, Calls]
         ] = {}
 
-    def take(self, source: str, is_data_center: bool, calls: Calls) -> None:
-        """Take a report in place of the one before."""
+    def add_report(
+        self, source: str, is_data_center: bool, calls: Calls
+    ) -> None:
+        """Add a report; it replaces the previous one of the same source."""
         key = (source, is_data_center)
         self._report_by_source[key] = (self._now(), calls)
 
-    def others(self, vm: str) -> Calls:
-        """Return what all but one VM have in flight."""
+    def calls_except(self, vm: str) -> Calls:
+        """Return the calls in flight of all VMs but one."""
         return self._sum(lambda source, is_sum: is_sum or source != vm)
 
-    def own_sum(self) -> Calls:
-        """Return what the VMs of this data centre have in flight."""
+    def data_center_sum(self) -> Calls:
+        """Return the calls in flight of the VMs of this data centre."""
         return self._sum(lambda source, is_sum: not is_sum)
 
     def _sum(self, counts: Callable[[str, bool], bool]) -> Calls:
-        oldest = self._now() - REPORT_SECONDS
+        oldest = self._now() - REPORT_VALID_SECONDS
         total: Calls = {}
         for key, (at, calls) in list(self._report_by_source.items()):
             if at < oldest:
@@ -116,18 +117,19 @@
 
 
 class LoadExchange:
-    """Reports this VM's calls, and hears of the others'.
+    """Reports this VM's calls in flight, and learns those of all others.
 
     Parameters
     ==========
 
     members : Members
-        The VMs.
+        The list of VMs.
     directory : Directory
         The upstreams, with this VM's calls there.
     configuration : Follower, optional
-        What the log has confirmed of the configuration; answers pass it on.
-        Only who asks can tell how old it is at the most: reports don't.
+        The configuration's records.  A response passes on up to where the log
+        has confirmed them; a report doesn't, as only a VM that asked has an
+        upper bound of the age.
     """
 
     def __init__(
@@ -144,8 +146,10 @@
         self._members = members
         self._directory = directory
         self._collector = LoadCollector(timers.now)
-        self._sightings = sightings_module.Sightings(directory, timers.now)
-        self._busy_at = -math.inf
+        self._suspicions = suspicion_module.SuspicionExchange(
+            directory, timers.now
+        )
+        self._active_at = -math.inf
         self._collects_until = -math.inf
         self._avoided = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
 
@@ -155,26 +159,26 @@
         return self._timers.now() < self._collects_until
 
     def start(self) -> None:
-        """Begin to report."""
-        self._timers.call_every(EXCHANGE_SECONDS, self._report)
+        """Start the periodic reports."""
+        self._timers.call_every(REPORT_INTERVAL_SECONDS, self._report)
 
     def answer(self, report: messages.LoadsReport) -> messages.Loads:
-        """Take another VM's report; return what all others have."""
+        """Handle a report; return the calls in flight of all others."""
         self._collects_until = self._timers.now() + IDLE_SECONDS
-        self._collector.take(
+        self._collector.add_report(
             report.source, report.is_data_center, dict(report.calls)
         )
-        self._sightings.collect(report.sightings, report.is_data_center)
+        self._suspicions.collect(report.sightings, report.is_data_center)
         if report.is_data_center:
             return messages.Loads([])
-        calls = self._collector.others(report.source)
+        calls = self._collector.calls_except(report.source)
         end, age = -1, 0.0
         if self._configuration is not None:
             end = self._configuration.confirmed_end
             age = self._configuration.confirmed_age
         return messages.Loads(
             list(calls.items()),
-            self._sightings.suspects(),
+            self._suspicions.suspects(),
             end,
             age if end >= 0 else 0.0,
         )
@@ -185,10 +189,14 @@
         now = self._timers.now()
         own = self._members.own
         calls = self._own_calls()
-        sightings = self._sightings.own()
-        if calls or sightings or self._has_heard_since(now - EXCHANGE_SECONDS):
-            self._busy_at = now
-        if now - self._busy_at > IDLE_SECONDS and now > self._collects_until:
+        sightings = self._suspicions.take_own()
+        if (
+            calls
+            or sightings
+            or self._was_answered_since(now - REPORT_INTERVAL_SECONDS)
+        ):
+            self._active_at = now
+        if now - self._active_at > IDLE_SECONDS and now > self._collects_until:
             return
         reachable = [
             member
@@ -198,7 +206,7 @@
         collector = collector_of(reachable, own.data_center)
         if collector is None or collector.name == own.name:
             self._collect(calls, sightings, reachable)
-        elif now - self._busy_at <= IDLE_SECONDS:
+        elif now - self._active_at <= IDLE_SECONDS:
             report = messages.LoadsReport(
                 own.name, False, list(calls.items()), sightings
             )
@@ -212,27 +220,30 @@
             if upstream.in_flight
         }
 
-    def _has_heard_since(self, moment: float) -> bool:
-        """Return whether there was a call that may have ended already."""
+    def _was_answered_since(self, moment: float) -> bool:
+        """Return whether any upstream has responded since a moment.
+
+        It shows calls that began and ended between two reports.
+        """
         return any(
             upstream.answered_at >= moment
             for upstream in self._directory.by_id.values()
         )
 
     def _collect(self, calls: Calls, sightings, reachable) -> None:
-        """This VM is the collector: tell those of other data centres."""
+        """Act as the collector: send this data centre's sum to the others."""
         own = self._members.own
-        self._collector.take(own.name, False, calls)
-        self._sightings.collect(sightings, False)
-        self._note(self._collector.others(own.name))
-        self._sightings.heed(self._sightings.suspects())
-        total = list(self._collector.own_sum().items())
+        self._collector.add_report(own.name, False, calls)
+        self._suspicions.collect(sightings, False)
+        self._note_other_calls(self._collector.calls_except(own.name))
+        self._suspicions.apply(self._suspicions.suspects())
+        total = list(self._collector.data_center_sum().items())
         report = messages.LoadsReport(
-            own.data_center, True, total, self._sightings.to_pass_on()
+            own.data_center, True, total, self._suspicions.take_unforwarded()
         )
-        places = {member.data_center for member in reachable}
-        for place in places - {own.data_center}:
-            other = collector_of(reachable, place)
+        data_centers = {member.data_center for member in reachable}
+        for data_center in data_centers - {own.data_center}:
+            other = collector_of(reachable, data_center)
             self._send(other, report, lambda status, body: None)
 
     def _send(self, member, report: messages.LoadsReport, on_answer) -> None:
@@ -240,9 +251,9 @@
             member.peers,
             messages.LOADS_PATH,
             messages.encode(report),
-            ANSWER_SECONDS,
+            ANSWER_TIMEOUT_SECONDS,
         )
-        failed = functools.partial(self._unanswered, member)
+        failed = functools.partial(self._on_transport_error, member)
         self._http.send(request, transport.AnswerCollector(on_answer, failed))
 
     def _answered(self, asked_at: float, status: int, body: bytes) -> None:
@@ -251,19 +262,19 @@
         try:
             loads = messages.decode(messages.Loads, body)
         except errors.PeerError:
-            # It may run another version; its answer is no use.
+            # Malformed: the collector may run another version.
             return
-        self._note(dict(loads.calls))
-        self._sightings.heed(loads.suspects)
+        self._note_other_calls(dict(loads.calls))
+        self._suspicions.apply(loads.suspects)
         if self._configuration is not None:
             self._configuration.note_confirmed(
                 loads.configuration_end, asked_at - loads.confirmed_age
             )
 
-    def _note(self, calls: Calls) -> None:
+    def _note_other_calls(self, calls: Calls) -> None:
         now = self._timers.now()
         for upstream in self._directory.by_id.values():
             upstream.note_others(calls.get(upstream.incarnation, 0), now)
 
-    def _unanswered(self, member, error) -> None:
+    def _on_transport_error(self, member, error) -> None:
         self._avoided.add(member)
--- a/postspring/peering/members.py
+++ b/postspring/peering/members.py
@@ -1,4 +1,4 @@
-"""The entry VMs that there are, as they announced themselves in the log."""
+"""The list of entry VMs, each entry written to the log by its VM."""
 
 from collections.abc import Callable
 import dataclasses
@@ -16,23 +16,24 @@
 LOG = logging.getLogger(__name__)
 
 PLACE = keyedlog.LogPlace(keyedlog.Subject.MEMBERS, 0)
-# How often a VM renews its entry, and reads the list, in seconds.
+# Interval at which a VM renews its entry and reads the list.
 HEARTBEAT_SECONDS = 5.0
-# An entry that was not renewed for this long belongs to a VM that is gone
-# for good, as far as anybody can tell; in seconds while the log answers.
+# An entry that was not renewed for this long, while the log responds, belongs
+# to a VM that is gone or cut off.
 EXPIRY_SECONDS = 13.0
-# A list that was read so much later than an entry's last renewal shows that
-# one was missed; a VM that stood still has not read the list.  In seconds.
-MISSED_SECONDS = 1.5 * HEARTBEAT_SECONDS
+# An entry expires only if the list was read this long after the entry's last
+# renewal.  A VM that was paused has not read the list meanwhile, and must not
+# take the others for gone.
+MISSED_RENEWAL_SECONDS = 1.5 * HEARTBEAT_SECONDS
 RETRY_SECONDS = 0.5
-# A VM that expired without having left may be cut off, and keep turns that
-# its callers had whole.  For so long it counts as not heard, in seconds: data
-# centres lose each other for minutes, and turns are kept for one.  A played
-# cut of 24 s lost two turns while expired VMs counted as gone.
+# A VM that expired without having left may be cut off, and hold turns that its
+# callers received in full.  For this long it counts as not heard: data centres
+# lose each other for minutes, and turns are kept for one.  In a simulated cut
+# of 24 s two turns were lost when expired VMs counted as gone.
 ABSENCE_SECONDS = 900.0
-# As many VMs are assumed while the list was never read; the largest fleet
-# that was measured has 64 entry VMs.
-UNKNOWN_VMS = 64
+# Number of VMs assumed until the list has been read: the largest fleet
+# measured has 64 entry VMs.
+ASSUMED_VMS = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -43,7 +44,7 @@
     ==========
 
     peers, callers : tuple of (str, int)
-        Where it listens for other VMs, and for callers.
+        Addresses at which it listens for other VMs and for callers.
     """
 
     name: str
@@ -54,12 +55,13 @@
 
 
 class Members:
-    """Announces this VM and follows the others.
+    """Announces this VM in the list, and follows the list.
 
     Explanation
     ===========
 
-    The list is a hint for whom to ask; nothing rests on its being right.
+    The list only suggests which VMs to ask: no guarantee depends on its being
+    correct.
 
     Parameters
     ==========
@@ -69,15 +71,16 @@
     seeds : tuple
         Addresses of VMs to ask while the list can't be read.
     ask_others : callable
-        Asks other VMs for their view of the list.
+        Requests other VMs' views of the list.
 
     Attributes
     ==========
 
     is_announced, is_leaving, has_left : bool
-        This VM stands in the list; takes itself off it; is off it.
+        The log has this VM's entry; its removal has begun; the log has the
+        removal.
     revision : int
-        Grows when a VM comes or goes.
+        Increases when a VM is added, changed or removed.
     """
 
     def __init__(
@@ -93,9 +96,9 @@
         self._timers = timers
         self.own = own
         self.by_name: dict[str, Member] = {}
-        self._seen_at_by_name: dict[str, float] = {}
+        self._renewal_by_name: dict[str, float] = {}
         self._expired_by_name: dict[str, Member] = {}
-        self._struck_by_name: dict[str, str] = {}
+        self._removed_by_name: dict[str, str] = {}
         self.revision = 0
         self._is_read = False
         self._has_predecessor = False
@@ -109,16 +112,17 @@
             timers,
             PLACE,
             self._reset,
-            self._take,
+            self._apply,
             pace=lambda: HEARTBEAT_SECONDS,
             on_regained=self._log_regained,
             ask_others=ask_others,
         )
 
     def start(self) -> None:
-        """Follow the list; announce this VM when it was first read.
+        """Follow the list, and announce this VM after the first read.
 
-        Who had its name before is told by nothing else.
+        An announcement replaces the entry of a predecessor of the same name,
+        so the list has to be read before.
         """
         self._follower.start()
         self._heartbeat = self._timers.call_every(
@@ -126,28 +130,28 @@
         )
 
     def leave(self) -> None:
-        """Take this VM off the list, once; nothing may be kept here then."""
+        """Remove this VM, which holds no unrecorded turn, from the list."""
         if self.is_leaving:
             return
         self.is_leaving = True
         if self._heartbeat is not None:
             self._heartbeat.cancel()
-        self._announce(cbor2.dumps([self.own.incarnation]), self._left)
+        self._announce(cbor2.dumps([self.own.incarnation]), self._on_left)
 
     @property
     def absent(self) -> list[Member]:
-        """VMs that dropped off the list and may be alive all the same."""
+        """VMs whose entries have expired and which may be running still."""
         oldest = self._timers.now() - ABSENCE_SECONDS
         return [
             member
             for name, member in self._expired_by_name.items()
-            if self._seen_at_by_name[name] > oldest
+            if self._renewal_by_name[name] > oldest
         ]
 
     def refresh(
         self, on_done: Callable[[], None], on_error: Callable[[], None]
     ) -> None:
-        """Read what was announced until now."""
+        """Read all entries up to the current end of the log."""
         page = self._follower.view
         if page is None:
             on_error()
@@ -156,30 +160,31 @@
 
     @property
     def is_first(self) -> bool:
-        """Whether nobody had this VM's name before.
+        """Whether the list has shown no other process with this VM's name.
 
-        Settings say so too, but whoever starts VMs by hand gives them the
-        same ones again: a VM that had forgotten its turns was believed.
+        The settings state that too, but VMs that are started by hand get the
+        same settings again: then a VM that had lost its turns in memory
+        counted as one that had never had any.
         """
         return self._is_read and not self._has_predecessor
 
     @property
     def listed_seconds(self) -> float:
-        """Seconds since this VM has been on the list; below 0 if it isn't."""
+        """Seconds since the log accepted this VM's entry; negative before."""
         return self._timers.now() - self._announced_at
 
     @property
     def own_entry(self) -> bytes:
-        """This VM's entry in the list."""
+        """This VM's entry, encoded."""
         return _encode(self.own)
 
     def introduce(self, name: str, entry: bytes) -> None:
-        """Take a VM that the list does not have yet."""
-        self._take([keyedlog.LogEntry(name, entry)])
+        """Add a VM whose entry this VM may not have read from the log yet."""
+        self._apply([keyedlog.LogEntry(name, entry)])
 
     @property
     def view(self) -> keyedlog.LogPage | None:
-        """The list as this VM knows it, itself included."""
+        """The list as this VM has read it, with this VM's own entry."""
         page = self._follower.view
         if page is None:
             return None
@@ -189,14 +194,15 @@
 
     @property
     def sharers(self) -> int:
-        """Among how many VMs the log's rate is shared, this one included."""
-        # Alone is what a VM seems that could never read the list.
+        """Number of VMs that share the log's rate, this one included."""
+        # Until the first read the list is empty, like that of a VM that is
+        # alone.
         known = math.isfinite(self._follower.age)
-        return max(1 if known else UNKNOWN_VMS, len(self.by_name))
+        return max(1 if known else ASSUMED_VMS, len(self.by_name))
 
     @property
     def sharers_here(self) -> int:
-        """How many VMs of this data centre there are, this one included."""
+        """Number of VMs in this data centre, this one included."""
         here = self.own.data_center
         return 1 + sum(member.data_center == here for member in self.listed)
 
@@ -211,13 +217,13 @@
 
     @property
     def others(self) -> list[Member]:
-        """All other VMs, in random order: whoever comes first has the work."""
+        """All other VMs in random order: the first ones get most requests."""
         found = self.listed
         random.shuffle(found)
         return found
 
     def nearest_first(self) -> list[Member]:
-        """Return the others, those of this data centre first."""
+        """Return the other VMs, those of this data centre first."""
         here = self.own.data_center
         return sorted(
             self.others, key=lambda member: member.data_center != here
@@ -235,17 +241,17 @@
 
         self._log.append(PLACE, [entry], on_done, failed)
 
-    def _announced(self, offset: int) -> None:
+    def _on_announced(self, offset: int) -> None:
         if not self.is_announced:
             self._announced_at = self._timers.now()
         self.is_announced = True
 
-    def _left(self, offset: int) -> None:
+    def _on_left(self, offset: int) -> None:
         self.has_left = True
 
     def _read_from(self, start: int, on_done, on_error) -> None:
         def on_page(page: keyedlog.LogPage) -> None:
-            self._take(page.entries)
+            self._apply(page.entries)
             if page.next < page.end:
                 self._read_from(page.next, on_done, on_error)
             else:
@@ -264,28 +270,28 @@
     def _expire(self) -> None:
         oldest = min(
             self._timers.now() - EXPIRY_SECONDS,
-            self._follower.fresh_at - MISSED_SECONDS,
+            self._follower.fresh_at - MISSED_RENEWAL_SECONDS,
         )
-        for name, seen_at in list(self._seen_at_by_name.items()):
-            if seen_at < oldest and name in self.by_name:
+        for name, renewed_at in list(self._renewal_by_name.items()):
+            if renewed_at < oldest and name in self.by_name:
                 LOG.info("member expired", extra={"member": name})
                 self._expired_by_name[name] = self.by_name.pop(name)
                 self.revision += 1
-        self._drop_gone()
+        self._drop_expired()
 
-    def _drop_gone(self) -> None:
-        """Drop the entries of VMs that have been away for very long.
+    def _drop_expired(self) -> None:
+        """Remove entries of VMs that have been absent for very long.
 
-        One VM does so in the log as well: whoever starts reads the entries
-        of all that ever were, and can't tell how old they are.
+        One VM removes them from the log as well: a VM that starts reads the
+        entries of all VMs there ever were, and can't tell how old they are.
         """
         absent = {member.name for member in self.absent}
         gone = [name for name in self._expired_by_name if name not in absent]
-        drops = self.own.name == min([self.own.name, *self.by_name])
+        is_dropping = self.own.name == min([self.own.name, *self.by_name])
         for name in gone:
             del self._expired_by_name[name]
-            del self._seen_at_by_name[name]
-            if drops:
+            del self._renewal_by_name[name]
+            if is_dropping:
                 LOG.info("member dropped", extra={"member": name})
                 entry = keyedlog.LogEntry(name, b"")
                 self._log.append(
@@ -293,59 +299,60 @@
                 )
 
     def _log_regained(self, outage: keyedlog.Outage) -> None:
-        """Nobody could renew an entry while the log was away.
+        """Postpone the expiry of all entries: none could be renewed.
 
-        One call that failed is no outage: a busy log refuses some.
+        A single failed call is no outage: a busy log refuses some.
         """
         if not outage.shortest:
             return
         for name in self.by_name:
-            seen_at = self._seen_at_by_name[name] + outage.longest
-            self._seen_at_by_name[name] = min(self._timers.now(), seen_at)
+            renewed_at = self._renewal_by_name[name] + outage.longest
+            self._renewal_by_name[name] = min(self._timers.now(), renewed_at)
 
     def _reset(self, entries: list[keyedlog.LogEntry]) -> None:
         self.by_name.clear()
         self.revision += 1
-        self._take(entries)
+        self._apply(entries)
         if not self._is_read:
             self._is_read = True
-            self._announce(_encode(self.own), self._announced)
+            self._announce(_encode(self.own), self._on_announced)
 
-    def _take(self, entries: list[keyedlog.LogEntry]) -> None:
+    def _apply(self, entries: list[keyedlog.LogEntry]) -> None:
         for entry in entries:
             decoded = _decode(entry) if entry.value else ""
             if entry.key == self.own.name and not self._is_own(decoded):
                 self._has_predecessor = True
             if isinstance(decoded, Member):
-                self._list(entry.key, decoded)
+                self._add(entry.key, decoded)
             elif decoded is not None:
-                self._strike(entry.key, decoded)
+                self._remove(entry.key, decoded)
 
     def _is_own(self, decoded: Member | str | None) -> bool:
-        """Return whether what stands under this VM's name is its own."""
+        """Return whether an entry under this VM's name is of this process."""
         if isinstance(decoded, Member):
             decoded = decoded.incarnation
         return decoded == self.own.incarnation
 
-    def _list(self, name: str, member: Member) -> None:
-        """Take a VM; a renewal may come behind the entry of its leaving."""
-        if self._struck_by_name.get(name) == member.incarnation:
+    def _add(self, name: str, member: Member) -> None:
+        """Add or renew a VM; a renewal may come after its removal."""
+        if self._removed_by_name.get(name) == member.incarnation:
             return
         self._expired_by_name.pop(name, None)
         self.revision += self.by_name.get(name) != member
         self.by_name[name] = member
-        self._seen_at_by_name[name] = self._timers.now()
+        self._renewal_by_name[name] = self._timers.now()
 
-    def _strike(self, name: str, incarnation: str) -> None:
-        """Take a VM off the list that has left, or was dropped (empty).
+    def _remove(self, name: str, incarnation: str) -> None:
+        """Remove a VM that has left, or any of the name if it was dropped.
 
-        Its entry may come late, behind that of its successor: then it is
-        the newest of this name, and the successor writes its own again.
+        ``incarnation`` is empty for a dropped VM.  In the log, the removal may
+        come after the entry of the VM's successor and replace it as the newest
+        of the name; the successor then announces itself again.
         """
-        self._struck_by_name[name] = incarnation
+        self._removed_by_name[name] = incarnation
         if name == self.own.name and self.is_announced:
             if not self.is_leaving:
-                self._announce(self.own_entry, self._announced)
+                self._announce(self.own_entry, self._on_announced)
         for members in (self.by_name, self._expired_by_name):
             member = members.get(name)
             if member and incarnation in ("", member.incarnation):
@@ -386,5 +393,5 @@
         TypeError,
         ValueError,
     ) as error:
-        LOG.warning("member skipped", extra={"error": str(error)})
+        LOG.warning("malformed member entry", extra={"error": str(error)})
         return None
--- a/postspring/peering/message_budget.py
+++ b/postspring/peering/message_budget.py
@@ -1,25 +1,25 @@
-"""How many questions a VM may ask the others."""
+"""Limits the rate of the queries that a VM sends to others."""
 
 from collections.abc import Callable
 
-__all__ = ["MessageBudget"]
+__all__ = ["MessageRateLimiter"]
 
-# Messages a second that a VM sends for questions, in the mean and at once.
-# One costs both ends about 0.4 ms of processor time, and a VM is asked as
-# much as it asks: a twentieth of a core, however many VMs there are.
-MESSAGES_A_SECOND = 60.0
-MOST_AT_ONCE = 300.0
+# Sustained rate of messages for queries, and the largest burst.  A message
+# costs both ends about 0.4 ms of processor time, and a VM receives as many as
+# it sends: a twentieth of a core, however many VMs there are.
+MESSAGES_PER_SECOND = 60.0
+MAX_BURST_MESSAGES = 300.0
 
 
-class MessageBudget:
-    """Lets so many messages go, and refuses the others at once.
+class MessageRateLimiter:
+    """Token bucket that refuses messages beyond the rate at once.
 
     Explanation
     ===========
 
-    A question to all VMs costs a message for each of them.  While the log is
-    away every turn may need one: 67 VMs spent all their processor time on
-    them, and answered nobody.
+    A query to all VMs costs one message for each of them, and while the log is
+    unreachable every turn may need such a query: without a limit 67 VMs spent
+    all their processor time on queries and answered no callers.
 
     Parameters
     ==========
@@ -30,27 +30,27 @@
     Examples
     ========
 
-    >>> budget = MessageBudget(lambda: 0.0)
-    >>> budget.take(250), budget.take(100), budget.take(50)
+    >>> limiter = MessageRateLimiter(lambda: 0.0)
+    >>> limiter.take(250), limiter.take(100), limiter.take(50)
     (True, False, True)
     """
 
     def __init__(self, now: Callable[[], float]):
         self._now = now
-        self._at = now()
-        self._left = MOST_AT_ONCE
+        self._refilled_at = now()
+        self._tokens = MAX_BURST_MESSAGES
 
     def take(self, messages: int) -> bool:
-        """Take so many messages, or none of them.
+        """Take tokens for all of the messages, or for none.
 
-        One question to more VMs than can ever be saved up for is let
-        through when nothing was asked for long.
+        A query to more VMs than the bucket holds passes when the bucket is
+        full, and leaves it in debt.
         """
         now = self._now()
-        added = (now - self._at) * MESSAGES_A_SECOND
-        self._at = now
-        self._left = min(MOST_AT_ONCE, self._left + added)
-        if min(messages, MOST_AT_ONCE) > self._left:
+        added = (now - self._refilled_at) * MESSAGES_PER_SECOND
+        self._refilled_at = now
+        self._tokens = min(MAX_BURST_MESSAGES, self._tokens + added)
+        if min(messages, MAX_BURST_MESSAGES) > self._tokens:
             return False
-        self._left -= messages
+        self._tokens -= messages
         return True
--- a/postspring/peering/messages.py
+++ b/postspring/peering/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entry VMs, in CBOR."""
+"""Messages between entry VMs, encoded as CBOR arrays."""
 
 from typing import Any
 
@@ -13,11 +13,11 @@
     "FindRequest",
     "Found",
     "KeepRequest",
-    "Kept",
+    "KeepResponse",
     "Loads",
-    "Permit",
-    "PermitRequest",
     "LoadsReport",
+    "PermitRequest",
+    "PermitResponse",
     "RecordRequest",
     "View",
     "ViewRequest",
@@ -33,72 +33,76 @@
 LOADS_PATH = "/peer/loads"
 PERMIT_PATH = "/peer/permit"
 RECORD_PATH = "/peer/record"
-# Answer of a VM that stops to what it is asked to keep.
+# Response of a VM that is shutting down to a request to keep copies.
 STOPPING_STATUS = 503
-# Answer of a VM that does not reach the log to what it is asked to record.
-WITHOUT_LOG_STATUS = 503
-# Calls to the platform's store that are to be passed on stand behind this.
+# Response of a VM that is shutting down, or can't reach the log, to a request
+# to record turns.
+LOG_UNREACHABLE_STATUS = 503
+# Path prefix of calls that a VM forwards to the platform's store.
 STORE_PREFIX = "/peer/store"
 
 
 class KeepRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Keep these records until they are in the log.
+    """Request to keep copies of records until the log has them.
 
     Parameters
     ==========
 
     is_log_away : bool
-        Who asks does not reach the log: record them at once if you do.
+        The sender can't reach the log: a receiver that can appends the records
+        at once.
     """
 
     records: list[bytes]
     is_log_away: bool = False
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to :class:`KeepRequest`.
+class KeepResponse(msgspec.Struct, frozen=True, array_like=True):
+    """The response to :class:`KeepRequest`.
 
     Parameters
     ==========
 
     reaches_log : bool
-        The log takes calls of the VM that answers, as far as it knows.
+        The responding VM can reach the log, as far as it can tell.
     """
 
     reaches_log: bool = False
 
 
 class RecordRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Append these whole turns, and answer when all stand in the log.
+    """Request to append turns, answered once the log has all of them.
 
     Parameters
     ==========
 
     turns : list of bytes
-        A turn that goes on from others of them stands behind those.
+        Records of whole turns; a turn comes after those of the list that it
+        continues.
     """
 
     turns: list[bytes]
 
 
 class FindRequest(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a program, and could its next turn run there?
+    """Query for a program: is it known, and can its next turn run there?
 
     Parameters
     ==========
 
     vm : str
-        Who asks.
+        Name of the VM that asks.
     previous : str or None
-        The turn that is to be continued.
+        The turn that the next one continues.
     ceiling : int
-        Most tokens that the turn may generate.
+        Maximum number of tokens that the next turn may generate.
     incarnation : str
-        Which one of the VM's processes asks.
+        Incarnation of the process that asks.
     entry : bytes
-        Its entry in the list of VMs: the one that is asked may not have it.
-    for_home : bool
-        The program may be let go on there.
+        Entry of the asking VM in the list of VMs, which the receiver may not
+        have read yet.
+    is_offline_request : bool
+        The asking VM may run the program offline after the responses.
     """
 
     vm: str
@@ -107,65 +111,71 @@
     ceiling: int
     incarnation: str = ""
     entry: bytes = b""
-    for_home: bool = False
+    is_offline_request: bool = False
 
 
 class Found(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to :class:`FindRequest`.
+    """The response to :class:`FindRequest`.
 
     Parameters
     ==========
 
     can_take : bool
-        The turn could run there without the log.
-    knows : bool
-        Some turn of the program is known there.
-    knows_turn : bool
-        The turn that is to be continued is known there.
+        The responding VM could run the turn without the log.
+    has_program : bool
+        The VM has some turn of the program in memory, or runs it offline.
+    has_turn : bool
+        The VM has the turn that is to be continued in memory.
     is_complete : bool
-        The VM has been up for long enough to know what began there.
+        The VM has been up for long enough to have every turn that ended there
+        lately.
     has_chain : bool
-        The turn and all that precede it are known there.
+        The VM has the turn and all its predecessors in memory, and accepts
+        calls.
     charged : int
-        Tokens that records charge the program with, as far as is known.
+        Tokens that the records read by the VM charge the program with.
     home_tokens : int
-        Tokens that the program may spend there while the log is away.
-    goes_first : bool
-        Another VM is about to let the program go on.
-    has_gone_on : bool
-        Another VM than the one that asks may have let it go on.
+        Tokens that the program may spend at the VM while it runs offline
+        there.
+    is_leased_elsewhere : bool
+        Another VM than the asking one is about to run the program offline: the
+        responding VM, which asks for leases itself, or one to which it granted
+        a lease.
+    may_be_offline_elsewhere : bool
+        Another VM than the asking one has asked to run the program offline.
     unsettled : list of (str, int)
-        Turns of the program that ran while the log was away, and the tokens
-        that it does not charge for them yet.
+        Turns of the program that ran offline, and the tokens that the log may
+        not charge for them yet.
     home_left : int
-        Tokens that the program may still spend there without the log.
+        Tokens that the program may still spend offline at the VM.
     knows_homes : bool
-        Any program may have gone on there without the log, or elsewhere as
-        far as the VM was told, whose records the log may lack.
+        Some program may have run offline, at the responding VM or at one that
+        asked it, whose turns the log may lack.
     """
 
     can_take: bool
-    knows: bool
-    knows_turn: bool
+    has_program: bool
+    has_turn: bool
     is_complete: bool
     has_chain: bool = False
     charged: int = 0
     home_tokens: int = 0
-    goes_first: bool = False
-    has_gone_on: bool = False
+    is_leased_elsewhere: bool = False
+    may_be_offline_elsewhere: bool = False
     unsettled: list[tuple[str, int]] = msgspec.field(default_factory=list)
     home_left: int = 0
     knows_homes: bool = True
 
 
 class ViewRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Show what you know of a subject.
+    """Request for the records of a subject that a VM has read.
 
     Parameters
     ==========
 
     vm : str
-        Who asks; it has just started, and nobody may know it yet.
+        Name of the VM that asks; it may have just started and be on no other
+        VM's list yet.
     entry : bytes
         Its entry in the list of VMs.
     """
@@ -176,13 +186,13 @@
 
 
 class View(msgspec.Struct, frozen=True, array_like=True):
-    """The newest record of each key, as a VM knows them.
+    """The newest record of each key that the responding VM has read.
 
     Parameters
     ==========
 
     next : int
-        Offset that the VM reads on from.
+        Offset at which the VM continues reading.
     """
 
     entries: list[tuple[str, bytes]]
@@ -190,20 +200,22 @@
 
 
 class LoadsReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a VM, or a whole data centre, has in flight at upstreams.
+    """Calls that a VM, or a data centre, has in flight at upstreams.
 
     Parameters
     ==========
 
     source : str
-        The VM's name, or the data centre's.
+        Name of the VM or of the data centre.
     is_data_center : bool
-        The calls are those of all VMs of a data centre.
+        The calls are the sum over all VMs of a data centre.
     calls : list of (str, int)
-        Upstream's incarnation and calls there; others have none.
+        Incarnations of upstreams and the calls in flight there; upstreams
+        without calls are left out.
     sightings : list of (str, float, int)
-        Of upstreams whose calls broke, or that are suspected: incarnation,
-        seconds since then, broken calls (0: something came from it).
+        Observations of upstreams whose calls broke or that are suspected:
+        incarnation, age in seconds, number of broken calls (0: the upstream
+        sent something).
     """
 
     source: str
@@ -215,21 +227,21 @@
 
 
 class Loads(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to :class:`LoadsReport`.
+    """The response to :class:`LoadsReport`.
 
     Parameters
     ==========
 
     calls : list of (str, int)
-        What all others have in flight.
+        Calls that all other VMs have in flight.
     suspects : list of (str, float)
         Upstreams that are probably dead, and seconds since calls last broke
         there.
     configuration_end : int
         Offset at which the configuration's records ended when the log last
-        confirmed that to the VM that answers; -1 if it never has.
+        confirmed that to the responding VM; -1 if it never has.
     confirmed_age : float
-        Seconds since then, at least, when it answers.
+        Upper bound of the seconds between that confirmation and the response.
     """
 
     calls: list[tuple[str, int]]
@@ -239,20 +251,21 @@
 
 
 class PermitRequest(msgspec.Struct, frozen=True, array_like=True):
-    """May a request of a workspace run?
+    """Asks a dealer whether a request of a workspace may run.
 
     Parameters
     ==========
 
     use : Use
-        What the request is for.
+        Purpose of the request.
     insists : bool
-        No VM that may tell is ready; this one is to tell all the same.
+        No dealer of the data centre is ready; the receiver is to decide
+        although it isn't ready either.
     ages : list of float
-        Seconds since other VMs of the data centre that is asked let requests
-        of the workspace run at the VM that asks.
+        Seconds since other dealers of the receiver's data centre granted
+        permits of the workspace to the asking VM.
     is_return : bool
-        Nothing is asked: a permit comes back, by which nothing ran.
+        No question: a permit is returned with which nothing ran.
     """
 
     workspace: str
@@ -262,16 +275,16 @@
     is_return: bool = False
 
 
-class Permit(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to :class:`PermitRequest`.
+class PermitResponse(msgspec.Struct, frozen=True, array_like=True):
+    """The response to :class:`PermitRequest`.
 
     Parameters
     ==========
 
     state : DealState
-        Granted, refused, or that this VM can't tell.
+        Granted, refused, or not ready to decide.
     wait : float
-        Seconds after which it may be granted.
+        Seconds after which a refused request may be granted.
     """
 
     state: quotas.DealState
@@ -281,7 +294,7 @@
 def request_to(
     address: tuple[str, int], path: str, body: bytes, seconds: float
 ) -> transport.HttpRequest:
-    """Return a request to the VM at an address, answered in ``seconds``."""
+    """Return a request to the VM at an address, with a timeout."""
     return transport.HttpRequest(
         address=address,
         method="POST",
@@ -293,20 +306,20 @@
 
 
 def encode(message: Any) -> bytes:
-    """Return a message as bytes: its fields in order."""
+    """Return a message as CBOR: an array of its fields in order."""
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
 def decode(cls: type, data: bytes) -> Any:
-    """Return the message of a type in ``data``.
+    """Return the message of a type that ``data`` encodes.
 
-    Fields that a VM of another version adds at the end are left out, and
-    those that it lacks have their defaults.
+    Additional fields at the end, from a newer version, are ignored; missing
+    ones take their defaults.
 
     Raises
     ------
     PeerError
-        If there is none.
+        If ``data`` isn't such a message.
 
     Examples
     --------
--- a/postspring/peering/peer_client.py
+++ b/postspring/peering/peer_client.py
@@ -1,4 +1,4 @@
-"""Asks the other VMs what they know of a program, and for their views."""
+"""Queries to other VMs: for programs, and for their views of the log."""
 
 from collections.abc import Callable
 import dataclasses
@@ -16,7 +16,7 @@
 from postspring.peering import members as members_module
 from postspring.peering import message_budget
 from postspring.peering import messages
-from postspring.peering import promises as promises_module
+from postspring.peering import promises as leases_module
 from postspring.peering import search as search_module
 from postspring.peering import settlement
 from postspring import transport
@@ -26,21 +26,22 @@
 
 LOG = logging.getLogger(__name__)
 
-# VMs answer each other in a few ms; one that has not by then is slow, dead
-# or cut off.  In seconds.
-FIND_SECONDS = 0.15
-VIEW_SECONDS = 0.5
-# A VM that did not answer is not asked again for this long, in seconds: in a
-# cut each turn would otherwise open a connection to every VM behind it.
+# VMs respond to each other in a few ms; one that has not responded by then is
+# slow, dead or cut off.
+FIND_TIMEOUT_SECONDS = 0.15
+VIEW_TIMEOUT_SECONDS = 0.5
+# A VM that did not respond is not asked again for this long: in a cut each
+# turn would otherwise open a connection to every VM behind it.
 AVOID_SECONDS = 1.0
-# VMs that are asked for their view at the same time.
-VIEW_VMS = 3
-# VMs that let a program go on before, and are asked before all others.
-LATEST_ASKERS = 2
+# Number of VMs that are asked for their views in parallel.
+MAX_VIEW_REQUESTS = 3
+# Number of VMs that are asked before all others, as they were the last ones to
+# ask for running the program offline.
+MAX_LIKELY_VMS = 2
 
 
 class PeerClient(forwarding.Peers):
-    """The other VMs, asked when they are needed.
+    """Client of the other VMs.
 
     Parameters
     ==========
@@ -48,39 +49,43 @@
     http : HttpClient
         Carries the requests.
     members : Members
-        Whom to ask.
-    promises : Promises
-        Which VM may let a program go on.
+        The list of VMs.
+    leases : Promises
+        Leases on programs, granted to other VMs.
+    is_complete : callable
+        Returns whether this VM has every turn that ended here lately.
     isolation : Isolation
-        Whether this VM is cut off.
+        Tells whether this VM is cut off.
     timers : Timers
-        For leaving silent VMs alone.
+        Time, and delays of requests.
 
     Attributes
     ==========
 
     holders : Holders
-        The same VMs, as those that keep records.
+        The same VMs as holders of records.
     """
 
     def __init__(
         self,
         http: transport.HttpClient,
         members: members_module.Members,
-        promises: promises_module.Promises,
+        leases: leases_module.Promises,
         is_complete: Callable[[], bool],
         isolation: isolation_module.Isolation,
         timers: transport.Timers,
     ):
         self._timers = timers
         self._isolation = isolation
-        self._promises = promises
-        self._avoided = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
-        self.holders = holders.Holders(http, members, self._avoided, timers)
-        self._budget = message_budget.MessageBudget(timers.now)
+        self._leases = leases
+        self._unresponsive = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
+        self.holders = holders.Holders(
+            http, members, self._unresponsive, timers
+        )
+        self._rate_limiter = message_budget.MessageRateLimiter(timers.now)
         self._settlement = settlement.Settlement(
             members.own.incarnation,
-            promises,
+            leases,
             lambda: self._is_complete(),
             timers.now,
         )
@@ -90,24 +95,27 @@
 
     @property
     def send_away(self) -> bool:
-        """Whether other data centres serve callers better just now."""
+        """Whether other data centres can serve callers better just now."""
         return self._isolation.sends_away
 
     def relayed_field(self, taker: upstreams.Upstream) -> tuple[str, str]:
-        """Name the process that is to take the request: only VMs know it."""
+        """Return a header field with the incarnation of the receiver.
+
+        Only VMs know incarnations, so it proves that a VM sent the request.
+        """
         member = self._members.by_name.get(taker.id)
-        told = member.incarnation if member else ""
-        return (forwarding.RELAYED_NAME, told)
+        incarnation = member.incarnation if member else ""
+        return (forwarding.RELAYED_NAME, incarnation)
 
     def is_relayed(self, header: forwarding.HeaderGetter) -> bool:
-        """Return whether another VM has passed a request on to this one."""
-        told = header(forwarding.RELAYED_NAME)
+        """Return whether a request was forwarded by another VM."""
+        incarnation = header(forwarding.RELAYED_NAME)
         return hmac.compare_digest(
-            told.encode("utf-8", "replace"),
+            incarnation.encode("utf-8", "replace"),
             self._members.own.incarnation.encode(),
         )
 
-    # -- questions ------------------------------------------------------------
+    # -- queries --------------------------------------------------------------
 
     def find(
         self,
@@ -117,8 +125,9 @@
     ) -> None:
         """Ask the other VMs about a turn's program and its chain.
 
-        Those of this data centre first: most programs stay in one, and a VM
-        there that can run the turn saves asking all others.
+        The VMs of this data centre are asked before the others: most programs
+        stay in one data centre, and a VM there that can run the turn saves
+        messages to all others.
         """
         if question is forwarding.Question.UNSETTLED:
             self._settlement.ask_once(
@@ -127,37 +136,37 @@
             )
             return
         if question is not forwarding.Question.TURN:
-            self._ask_all(facts, question, False, on_done)
+            self._query(facts, question, False, on_done)
             return
         self._members.refresh(
-            functools.partial(self._ask_all, facts, question, True, on_done),
-            functools.partial(self._ask_all, facts, question, False, on_done),
+            functools.partial(self._query, facts, question, True, on_done),
+            functools.partial(self._query, facts, question, False, on_done),
         )
 
     def _ask_for_unsettled(
         self,
         facts: forwarding.CallFacts,
         on_done: Callable[[forwarding.Finding], None],
-        on_heard: Callable[[], None],
+        on_answers: Callable[[], None],
     ) -> None:
-        """Ask the VMs that may know what a program owes."""
+        """Ask the VMs that may have turns the log doesn't charge yet."""
 
         def found(finding: forwarding.Finding) -> None:
             self._settlement.note_finding(facts.program, finding)
             on_done(finding)
-            on_heard()
+            on_answers()
 
-        self._ask_all(facts, forwarding.Question.UNSETTLED, False, found)
+        self._query(facts, forwarding.Question.UNSETTLED, False, found)
 
-    def _ask_all(
+    def _query(
         self,
         facts: forwarding.CallFacts,
         question: forwarding.Question,
-        is_newest_list: bool,
+        has_fresh_list: bool,
         on_done: Callable[[forwarding.Finding], None],
     ) -> None:
         own = self._members.own
-        is_for_home = question is forwarding.Question.HOME
+        is_offline_request = question is forwarding.Question.HOME
         request = messages.FindRequest(
             own.name,
             facts.program,
@@ -165,23 +174,23 @@
             facts.ceiling,
             own.incarnation,
             self._members.own_entry,
-            is_for_home,
+            is_offline_request,
         )
         others = self._members.listed
-        hears_all = question is forwarding.Question.UNSETTLED
-        if hears_all:
-            others = self._settlement.to_ask(facts.program, others)
-        stages = self._stages(facts.program, others, hears_all)
-        if is_for_home:
-            self._promises.begin_asking(facts.program)
+        awaits_all = question is forwarding.Question.UNSETTLED
+        if awaits_all:
+            others = self._settlement.vms_to_ask(facts.program, others)
+        stages = self._stages(facts.program, others, awaits_all)
+        if is_offline_request:
+            self._leases.begin_request(facts.program)
         asked_at = self._timers.now()
 
         def answered(search: search_module.Search) -> None:
-            if is_for_home:
-                self._promises.end_asking(facts.program)
+            if is_offline_request:
+                self._leases.end_request(facts.program)
             waited = self._timers.now() - asked_at
-            finding = self._judge(
-                facts.program, search, is_newest_list, waited
+            finding = self._finding(
+                facts.program, search, has_fresh_list, waited
             )
             for member in others:
                 found = search.answer_by_name.get(member.name)
@@ -192,7 +201,7 @@
         body = messages.encode(request)
 
         def ask(asked: list[members_module.Member]) -> bool:
-            if not self._budget.take(len(asked)):
+            if not self._rate_limiter.take(len(asked)):
                 return False
             for member in asked:
                 send(member)
@@ -201,11 +210,16 @@
         def send(member: members_module.Member) -> None:
             self._http.send(
                 messages.request_to(
-                    member.peers, messages.FIND_PATH, body, FIND_SECONDS
+                    member.peers,
+                    messages.FIND_PATH,
+                    body,
+                    FIND_TIMEOUT_SECONDS,
                 ),
                 transport.AnswerCollector(
                     functools.partial(search.take, member),
-                    functools.partial(self._unanswered, member, search),
+                    functools.partial(
+                        self._on_transport_error, member, search
+                    ),
                 ),
             )
 
@@ -215,31 +229,32 @@
             ask,
             answered,
             self._members.absent,
-            hears_all,
+            awaits_all,
         )
         search.start()
 
-    def _judge(
+    def _finding(
         self,
         program: histories.ProgramId,
         search: search_module.Search,
-        is_newest_list: bool,
+        has_fresh_list: bool,
         waited: float,
     ) -> forwarding.Finding:
-        """Return what the answers come to with what this VM knows."""
+        """Combine the responses with the leases and the state of this VM."""
         own = self._members.own
         finding = search.finding(own, self._is_complete())
-        if not is_newest_list:
+        if not has_fresh_list:
             doubts = (*finding.doubts, forwarding.Doubt.OLD_LIST)
             finding = dataclasses.replace(finding, doubts=doubts)
-        has_lapsed = waited > promises_module.PROMISE_SECONDS
-        if has_lapsed or not self._members.is_announced:
-            # Nothing begins here: the others' promises have lapsed (this
-            # VM stood still), or they would not know to ask here.
+        have_leases_expired = waited > leases_module.PROMISE_SECONDS
+        if have_leases_expired or not self._members.is_announced:
+            # No program may begin here: either the leases from other VMs have
+            # expired, as this VM was paused, or other VMs would not have this
+            # one on their lists, and not ask it.
             finding = dataclasses.replace(finding, is_answered=False)
-        if self._promises.has_gone_on(program, own.incarnation):
+        if self._leases.was_requested_elsewhere(program, own.incarnation):
             finding = dataclasses.replace(finding, has_gone_on=True)
-        if self._promises.binds(program):
+        if self._leases.is_leased(program):
             finding = dataclasses.replace(finding, is_deferred=True)
         return finding
 
@@ -247,18 +262,21 @@
         self,
         program: histories.ProgramId,
         listed: list[members_module.Member],
-        hears_all: bool,
+        awaits_all: bool,
     ) -> list[list[members_module.Member]]:
-        """Return whom to ask first, and whom if that finds nobody.
+        """Return the VMs to ask first, and those to ask if none can run it.
 
-        Who let the program go on last most likely still does: it is asked
-        alone, and most turns cost one message instead of one for each VM.
+        The VM that asked last to run the program offline most likely still
+        runs it: asked alone, it answers most queries with one message instead
+        of one for each VM.
         """
-        others = [member for member in listed if member not in self._avoided]
-        if hears_all:
+        others = [
+            member for member in listed if member not in self._unresponsive
+        ]
+        if awaits_all:
             return [others]
         here = self._members.own.data_center
-        latest = self._promises.latest_askers(program)[:LATEST_ASKERS]
+        latest = self._leases.latest_requesters(program)[:MAX_LIKELY_VMS]
         likely = [item for item in others if item.incarnation in latest]
         rest = [item for item in others if item not in likely]
         near = [item for item in rest if item.data_center == here]
@@ -266,11 +284,13 @@
         return [likely, near, far]
 
     def may_owe(self, program: histories.ProgramId) -> bool:
-        """Return whether other VMs may have turns that are not charged."""
+        """Return whether other VMs may have turns that aren't charged yet."""
         return self._settlement.may_owe(program, self._members.listed)
 
-    def _unanswered(self, member, search: search_module.Search, error) -> None:
-        self._avoided.add(member)
+    def _on_transport_error(
+        self, member, search: search_module.Search, error
+    ) -> None:
+        self._unresponsive.add(member)
         search.failed()
 
     # -- views ----------------------------------------------------------------
@@ -280,22 +300,22 @@
         place: keyedlog.LogPlace,
         on_page: Callable[[keyedlog.LogPage], None],
     ) -> None:
-        """Ask some VMs what they know of a subject."""
+        """Ask some VMs for the records of a subject that they have read."""
         members = self._members
         request = messages.ViewRequest(
             place.subject.value, members.own.name, members.own_entry
         )
         body = messages.encode(request)
         asked = [member.peers for member in members.nearest_first()]
-        for address in (asked or members.seeds)[:VIEW_VMS]:
+        for address in (asked or members.seeds)[:MAX_VIEW_REQUESTS]:
             self._http.send(
                 messages.request_to(
-                    address, messages.VIEW_PATH, body, VIEW_SECONDS
+                    address, messages.VIEW_PATH, body, VIEW_TIMEOUT_SECONDS
                 ),
                 transport.AnswerCollector(
                     functools.partial(_take_view, on_page=on_page),
                     lambda error: LOG.info(
-                        "no view", extra={"reason": str(error)}
+                        "no view from peer", extra={"reason": str(error)}
                     ),
                 ),
             )
@@ -304,7 +324,7 @@
 def _take_view(
     status: int, body: bytes, on_page: Callable[[keyedlog.LogPage], None]
 ) -> None:
-    """Hand one VM's view on."""
+    """Decode a VM's view and deliver it as a page of the log."""
     if status != 200:
         return
     try:
@@ -315,6 +335,6 @@
         ]
         page = keyedlog.LogPage(entries, int(view.next), int(view.next))
     except (errors.PeerError, TypeError, ValueError) as error:
-        LOG.warning("peer's view", extra={"error": str(error)})
+        LOG.warning("malformed view from peer", extra={"error": str(error)})
         return
     on_page(page)
--- a/postspring/peering/permits.py
+++ b/postspring/peering/permits.py
@@ -1,7 +1,9 @@
-"""Permits: whether a workspace's limit allows a call, asked of its dealers.
+"""Permits: asks dealers whether a workspace's rate limit allows a call.
 
-A VM of this data centre is asked first.  If it has none left, those of the
-other data centres are: so a limit is used up wherever its callers come in.
+A dealer allocates a data centre's part of the limit
+(:mod:`postspring.quotas`).  A VM asks a dealer of its own data centre first,
+and those of the other data centres if that one refuses: so the whole limit can
+be used, whichever data centre the callers use.
 """
 
 from collections.abc import Callable
@@ -19,37 +21,40 @@
 
 __all__ = ["Permits"]
 
-# VMs answer each other in a few ms; a dealer that has not by then is slow,
-# dead or cut off, and is not asked for a while; seconds.
-ANSWER_SECONDS = 0.12
+# VMs respond to each other in a few ms; a dealer that has not responded by
+# then is slow, dead or cut off, and is not asked for AVOID_SECONDS.
+ANSWER_TIMEOUT_SECONDS = 0.12
 AVOID_SECONDS = 0.7
 TICK_SECONDS = 0.2
-# A refusal stands for this long at the most, in seconds: limits change.
-LONGEST_REFUSAL_SECONDS = 2.0
-LEAST_REFUSAL_SECONDS = 0.05
-# Callers that are refused together come back spread over so much more time.
-SPREAD = 0.3
+# A refusal is reused for this long at most, as limits may change.
+MAX_REFUSAL_SECONDS = 2.0
+MIN_REFUSAL_SECONDS = 0.05
+# Callers are told to retry after a delay that is longer by a random part of
+# it, up to this fraction, so that those refused together don't all return at
+# once.
+RETRY_SPREAD = 0.3
 
 OnVerdict = Callable[[forwarding.Verdict], None]
-LimitOf = Callable[[str], workspaces.Workspace | None]
+WorkspaceOf = Callable[[str], workspaces.Workspace | None]
 
 
 class Permits(forwarding.Limiter):
-    """Asks dealers for permits, and is one.
+    """Requests permits from dealers, and serves as a dealer.
 
     Parameters
     ==========
 
     members : Members
-        The VMs.
+        The list of VMs.
     workspace_of : callable
         Returns a workspace of the configuration in force, by name.
-    parts : int
-        Data centres that there are.
+    data_center_count : int
+        Number of data centres.
     span : float
         Seconds over which requests are counted.
-    is_staying : callable
-        Returns whether this VM goes on: one that stops deals no more.
+    takes_work : callable
+        Returns whether this VM accepts new calls: one that is shutting down
+        grants no permits.
     """
 
     def __init__(
@@ -57,23 +62,24 @@
         http: transport.HttpClient,
         timers: transport.Timers,
         members: members_module.Members,
-        workspace_of: LimitOf,
-        parts: int,
+        workspace_of: WorkspaceOf,
+        data_center_count: int,
         span: float,
-        is_staying: Callable[[], bool] = lambda: True,
+        takes_work: Callable[[], bool] = lambda: True,
     ):
         self._http = http
         self._timers = timers
         self._members = members
         self._workspace_of = workspace_of
-        self._is_staying = is_staying
+        self._takes_work = takes_work
         self._dealer = quotas.Dealer(
-            parts, span, timers.now, lambda: members.listed_seconds
+            data_center_count, span, timers.now, lambda: members.listed_seconds
         )
         self._granted = quotas.GrantedPermits(span)
         self.avoided = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
-        # As of a revision of the list of VMs: hashing all of them for each
-        # call would cost more than the call to the dealer.
+        # Dealers by workspace and data centre, as of a revision of the list of
+        # VMs: hashing all VMs for each call would cost more than the call to
+        # the dealer.
         self._revision = -1
         self._dealers_by_part: dict[
             tuple[str, str], list[members_module.Member]
@@ -81,7 +87,7 @@
         self._refused_until: dict[tuple[str, quotas.Use], float] = {}
 
     def start(self) -> None:
-        """Begin to deal."""
+        """Start the dealer's clock."""
         self._timers.call_every(TICK_SECONDS, self._dealer.tick)
 
     def ask(
@@ -96,25 +102,27 @@
         if until > now:
             on_done(_refused(until - now, 0))
             return
-        _Question(self, workspace, use, on_done).start()
+        _PermitCall(self, workspace, use, on_done).start()
 
-    def answer(self, request: messages.PermitRequest) -> messages.Permit:
-        """Answer another VM."""
+    def answer(
+        self, request: messages.PermitRequest
+    ) -> messages.PermitResponse:
+        """Handle another VM's request for a permit."""
         if request.is_return:
             self._dealer.take_back(request.workspace)
-            return messages.Permit(quotas.DealState.GRANTED, 0.0)
+            return messages.PermitResponse(quotas.DealState.GRANTED, 0.0)
         workspace = self._workspace_of(request.workspace)
-        if workspace is None or not self._is_staying():
-            return messages.Permit(quotas.DealState.NOT_READY, 0.0)
+        if workspace is None or not self._takes_work():
+            return messages.PermitResponse(quotas.DealState.NOT_READY, 0.0)
         deal = self._deal(
             workspace, request.use, request.insists, request.ages
         )
-        return messages.Permit(deal.state, deal.wait)
+        return messages.PermitResponse(deal.state, deal.wait)
 
-    # -- for questions --------------------------------------------------------
+    # -- for _PermitCall ------------------------------------------------------
 
-    def places(self) -> list[str]:
-        """Return the data centres, this one first, the others at random."""
+    def data_centers(self) -> list[str]:
+        """Return the data centres: this one first, the others shuffled."""
         here = self._members.own.data_center
         others = {item.data_center for item in self._members.listed}
         others.discard(here)
@@ -123,27 +131,30 @@
         return [here, *rest]
 
     def dealers(
-        self, workspace: str, place: str
+        self, workspace: str, data_center: str
     ) -> list[members_module.Member]:
-        """Return who may deal a workspace's limit out in a data centre."""
+        """Return the possible dealers of a workspace in a data centre.
+
+        They are in order of precedence.
+        """
         if self._members.revision != self._revision:
             self._revision = self._members.revision
             self._dealers_by_part.clear()
-        part = (workspace, place)
+        part = (workspace, data_center)
         found = self._dealers_by_part.get(part)
         if found is None:
-            found = self._find_dealers(workspace, place)
+            found = self._find_dealers(workspace, data_center)
             self._dealers_by_part[part] = found
         return found
 
     def _find_dealers(
-        self, workspace: str, place: str
+        self, workspace: str, data_center: str
     ) -> list[members_module.Member]:
         vms = [*self._members.by_name.values()]
         own = self._members.own
         if own.name not in self._members.by_name:
             vms.append(own)
-        return quotas.dealers_of(workspace, vms, place)
+        return quotas.dealers_of(workspace, vms, data_center)
 
     def ask_dealer(
         self,
@@ -152,32 +163,35 @@
         use: quotas.Use,
         insists: bool,
         on_deal: Callable[[quotas.Deal], None],
-        on_silence: Callable[[], None],
+        on_failure: Callable[[], None],
     ) -> None:
         """Ask one dealer, which may be this VM."""
         now = self._timers.now()
         part = (workspace.name, member.data_center, member.incarnation)
         ages = self._granted.ages(*part, now)
 
-        def dealt(deal: quotas.Deal) -> None:
+        def on_answer(deal: quotas.Deal) -> None:
             if deal.state is not quotas.DealState.NOT_READY:
                 self._granted.note_told(*part)
             if deal.state is quotas.DealState.GRANTED:
                 self._granted.add(*part, self._timers.now())
             on_deal(deal)
 
-        def silent() -> None:
+        def failed() -> None:
             self.avoided.add(member)
-            on_silence()
+            on_failure()
 
         if member.name == self._members.own.name:
-            dealt(self._deal(workspace, use, insists, ages))
+            on_answer(self._deal(workspace, use, insists, ages))
             return
         request = messages.PermitRequest(workspace.name, use, insists, ages)
-        self._send(member, request, dealt, silent)
+        self._send(member, request, on_answer, failed)
 
     def give_back(self, member: members_module.Member, workspace: str) -> None:
-        """Return a permit to its dealer; if that is lost, it counts on."""
+        """Return a permit to its dealer.
+
+        If the message is lost, the permit counts as used.
+        """
         self._granted.remove(workspace, member.data_center, member.incarnation)
         if member.name == self._members.own.name:
             self._dealer.take_back(workspace)
@@ -190,7 +204,7 @@
     def note_refusal(
         self, workspace: str, use: quotas.Use, wait: float
     ) -> None:
-        """Refuse more of the same at once, until it is worth asking."""
+        """Refuse further requests of the same use for some seconds."""
         until = self._timers.now() + wait
         self._refused_until[(workspace, use)] = until
 
@@ -202,11 +216,11 @@
         is_first = first.name == own.name
         return self._dealer.ask(workspace, use, is_first, insists, ages)
 
-    def _send(self, member, request, on_deal, on_silence) -> None:
+    def _send(self, member, request, on_deal, on_failure) -> None:
         def answered(status: int, body: bytes) -> None:
-            deal = _deal_in(status, body)
+            deal = _decode_deal(status, body)
             if deal is None:
-                on_silence()
+                on_failure()
             else:
                 on_deal(deal)
 
@@ -215,14 +229,14 @@
                 member.peers,
                 messages.PERMIT_PATH,
                 messages.encode(request),
-                ANSWER_SECONDS,
+                ANSWER_TIMEOUT_SECONDS,
             ),
-            transport.AnswerCollector(answered, lambda error: on_silence()),
+            transport.AnswerCollector(answered, lambda error: on_failure()),
         )
 
 
-class _Question:
-    """One call's question, from dealer to dealer."""
+class _PermitCall:
+    """One call's request for a permit, which tries dealer after dealer."""
 
     def __init__(
         self,
@@ -235,24 +249,24 @@
         self._workspace = workspace
         self._use = use
         self._on_done = on_done
-        self._places = permits.places()
+        self._data_centers = permits.data_centers()
         self._dealers: list[members_module.Member] = []
         self._unready: members_module.Member | None = None
         self._waits: list[float] = []
         self._asked = 0
 
     def start(self) -> None:
-        """Ask in this data centre."""
-        self._next_place()
+        """Ask the dealers of this data centre first."""
+        self._next_data_center()
 
     # -- own ------------------------------------------------------------------
 
-    def _next_place(self) -> None:
-        if not self._places:
+    def _next_data_center(self) -> None:
+        if not self._data_centers:
             self._end()
             return
-        place = self._places.pop(0)
-        found = self._permits.dealers(self._workspace.name, place)
+        data_center = self._data_centers.pop(0)
+        found = self._permits.dealers(self._workspace.name, data_center)
         self._dealers = [
             member for member in found if member not in self._permits.avoided
         ]
@@ -263,11 +277,12 @@
         if self._dealers:
             self._ask(self._dealers.pop(0), False)
         elif self._unready is not None:
-            # All of them have just started: the first one deals.
+            # No dealer here is ready; the first one that said so decides all
+            # the same.
             member, self._unready = self._unready, None
             self._ask(member, True)
         else:
-            self._next_place()
+            self._next_data_center()
 
     def _ask(self, member: members_module.Member, insists: bool) -> None:
         self._asked += 1
@@ -276,11 +291,11 @@
             self._workspace,
             self._use,
             insists,
-            functools.partial(self._take, member, insists),
+            functools.partial(self._handle_deal, member, insists),
             self._next_dealer,
         )
 
-    def _take(self, member, insists: bool, deal: quotas.Deal) -> None:
+    def _handle_deal(self, member, insists: bool, deal: quotas.Deal) -> None:
         if deal.state is quotas.DealState.GRANTED:
             give_back = functools.partial(
                 self._permits.give_back, member, self._workspace.name
@@ -292,7 +307,7 @@
             )
         elif deal.state is quotas.DealState.REFUSED:
             self._waits.append(deal.wait)
-            self._next_place()
+            self._next_data_center()
         else:
             if not insists and self._unready is None:
                 self._unready = member
@@ -304,24 +319,24 @@
                 forwarding.Verdict(False, False, dealers=self._asked)
             )
             return
-        wait = min(*self._waits, LONGEST_REFUSAL_SECONDS)
+        wait = min(*self._waits, MAX_REFUSAL_SECONDS)
         self._permits.note_refusal(self._workspace.name, self._use, wait)
         self._on_done(_refused(wait, self._asked))
 
 
 def _refused(wait: float, asked: int) -> forwarding.Verdict:
     """Return the refusal of a limit that is used up for some seconds."""
-    spread = 1.0 + SPREAD * random.random()
-    seconds = max(wait, LEAST_REFUSAL_SECONDS) * spread
+    spread = 1.0 + RETRY_SPREAD * random.random()
+    seconds = max(wait, MIN_REFUSAL_SECONDS) * spread
     return forwarding.Verdict(False, retry_after=seconds, dealers=asked)
 
 
-def _deal_in(status: int, body: bytes) -> quotas.Deal | None:
-    """Return a dealer's answer; None if it is none."""
+def _decode_deal(status: int, body: bytes) -> quotas.Deal | None:
+    """Return a dealer's response; None if it is malformed."""
     if status != 200:
         return None
     try:
-        permit = messages.decode(messages.Permit, body)
+        permit = messages.decode(messages.PermitResponse, body)
         return quotas.Deal(permit.state, permit.wait)
     except errors.PeerError:
         return None
--- a/postspring/peering/promises.py
+++ b/postspring/peering/promises.py
@@ -1,139 +1,160 @@
-"""Which VM may let a program go on while the log is away.
+"""Leases that keep two VMs from running the same program offline.
 
-A VM asks the others before it does; each of them promises that it will not
-do the same for a while, or says that another one goes first.  Each also keeps
-in mind who asked: that VM may be gone when the next one asks.
+Before a VM runs a program offline, it asks all others.  Each of them grants it
+a short lease on the program, or responds that another VM has precedence.  A VM
+that has granted a lease does not run the program offline itself.  Each VM also
+remembers which VMs asked, so that it can name them when the next one asks and
+those are gone.
 """
 
 from collections.abc import Callable
 
 __all__ = ["Promises"]
 
-# Longer than a VM takes to ask the others and to begin, in seconds.
+# Longer than a VM takes to ask the others and to begin.
 PROMISE_SECONDS = 0.5
-# How many programs are kept in mind, the latest ones: some 1 MB.
-MOST_REMEMBERED = 10_000
+# Programs whose requesters are remembered, the latest ones: about 1 MB.
+MAX_PROGRAMS = 10_000
 
 
 class Promises:
-    """Promises given to other VMs, by program.
+    """Leases on programs that this VM has granted to others.
 
     Parameters
     ==========
 
     name : str
-        This VM's; of two that ask at once the first by name goes on.
+        Name of this VM; of two VMs that ask at the same time the first by name
+        has precedence.
     now : callable
         Monotonic time in seconds.
 
     Examples
     ========
 
-    >>> promises = Promises("b", lambda: 0.0)
-    >>> promises.give("p", "c"), promises.give("p", "d")
+    >>> leases = Promises("b", lambda: 0.0)
+    >>> leases.grant("p", "c"), leases.grant("p", "d")
     (True, False)
-    >>> promises.binds("p")
+    >>> leases.is_leased("p")
     True
     """
 
     def __init__(self, name: str, now: Callable[[], float]):
         self._name = name
         self._now = now
-        self._given: dict[str, tuple[str, float]] = {}
-        self._asking: dict[str, int] = {}
-        # The latest one stands last.
-        self._askers_by_program: dict[str, dict[str, None]] = {}
+        self._lease_by_program: dict[str, tuple[str, float]] = {}
+        self._open_requests: dict[str, int] = {}
+        # Each program's requesters, the latest one last.
+        self._requesters_by_program: dict[str, dict[str, None]] = {}
         self._settled_by_program: dict[str, set[str]] = {}
 
-    def remember(self, program: str, incarnation: str) -> None:
-        """Take note that a VM may let a program go on."""
-        askers = self._askers_by_program.pop(program, {})
-        askers.pop(incarnation, None)
-        self._askers_by_program[program] = askers | {incarnation: None}
-        if len(self._askers_by_program) > MOST_REMEMBERED:
-            oldest = next(iter(self._askers_by_program))
-            del self._askers_by_program[oldest]
+    def note_request(self, program: str, incarnation: str) -> None:
+        """Remember that a VM may run a program offline."""
+        requesters = self._requesters_by_program.pop(program, {})
+        requesters.pop(incarnation, None)
+        self._requesters_by_program[program] = requesters | {incarnation: None}
+        if len(self._requesters_by_program) > MAX_PROGRAMS:
+            oldest = next(iter(self._requesters_by_program))
+            del self._requesters_by_program[oldest]
             self._settled_by_program.pop(oldest, None)
 
-    def has_gone_on(self, program: str, incarnation: str) -> bool:
-        """Return whether another VM may have let a program go on."""
-        askers = self._askers_by_program.get(program, {})
-        return any(asker != incarnation for asker in askers)
+    def was_requested_elsewhere(self, program: str, incarnation: str) -> bool:
+        """Return whether another VM may have run a program offline.
 
-    def latest_askers(self, program: str) -> list[str]:
-        """Return who may have let a program go on, the latest first.
+        Parameters
+        ----------
+        incarnation : str
+            The VM that is left out of the count.
+        """
+        requesters = self._requesters_by_program.get(program, {})
+        return any(requester != incarnation for requester in requesters)
+
+    def latest_requesters(self, program: str) -> list[str]:
+        """Return the VMs that may have run a program offline, latest first.
 
         Examples
         --------
-        >>> promises = Promises("b", lambda: 0.0)
-        >>> promises.remember("p", "a1")
-        >>> promises.remember("p", "c1")
-        >>> promises.remember("p", "a1")
-        >>> promises.latest_askers("p")
+        >>> leases = Promises("b", lambda: 0.0)
+        >>> leases.note_request("p", "a1")
+        >>> leases.note_request("p", "c1")
+        >>> leases.note_request("p", "a1")
+        >>> leases.latest_requesters("p")
         ['a1', 'c1']
         """
-        return list(reversed(self._askers_by_program.get(program, {})))
+        return list(reversed(self._requesters_by_program.get(program, {})))
 
-    def owes(self, program: str, incarnation: str) -> bool:
-        """Return whether a VM that let it go on may not have settled that."""
-        askers = set(self._askers_by_program.get(program, {}))
+    def may_be_unsettled(self, program: str, incarnation: str) -> bool:
+        """Return whether the log may lack turns that a program ran offline.
+
+        Parameters
+        ----------
+        incarnation : str
+            The VM whose turns are left out.
+        """
+        requesters = set(self._requesters_by_program.get(program, {}))
         settled = self._settled_by_program.get(program, set())
-        return bool(askers - settled - {incarnation})
+        return bool(requesters - settled - {incarnation})
 
     @property
-    def owes_any(self) -> bool:
-        """Whether any program that was let go on may not be settled."""
+    def any_may_be_unsettled(self) -> bool:
+        """Whether any VM that asked may have unrecorded turns."""
         return any(
-            set(askers) - self._settled_by_program.get(program, set())
-            for program, askers in self._askers_by_program.items()
+            set(requesters) - self._settled_by_program.get(program, set())
+            for program, requesters in self._requesters_by_program.items()
         )
 
     def note_settled(self, program: str) -> None:
-        """Take note that all who asked until now have settled.
+        """Take note that the log has the turns of all requesters until now.
 
         Examples
         --------
-        >>> promises = Promises("b", lambda: 0.0)
-        >>> promises.remember("p", "a1")
-        >>> promises.owes("p", "b1")
+        >>> leases = Promises("b", lambda: 0.0)
+        >>> leases.note_request("p", "a1")
+        >>> leases.may_be_unsettled("p", "b1")
+        True
+        >>> leases.note_settled("p")
+        >>> leases.may_be_unsettled("p", "b1")
+        False
+        >>> leases.was_requested_elsewhere("p", "b1")
         True
-        >>> promises.note_settled("p")
-        >>> promises.owes("p", "b1"), promises.has_gone_on("p", "b1")
-        (False, True)
         """
-        askers = self._askers_by_program.get(program, {})
-        if askers:
-            self._settled_by_program[program] = set(askers)
+        requesters = self._requesters_by_program.get(program, {})
+        if requesters:
+            self._settled_by_program[program] = set(requesters)
+
+    def grant(self, program: str, vm: str) -> bool:
+        """Grant a VM a lease on a program, unless another VM has precedence.
 
-    def give(self, program: str, vm: str) -> bool:
-        """Promise a VM to stay back; return False if it has to itself."""
-        if program in self._asking and self._name < vm:
+        The other one is the holder of a lease, or this VM while it asks for a
+        lease itself and comes first by name.
+        """
+        if program in self._open_requests and self._name < vm:
             return False
         holder = self._holder(program)
         if holder not in (None, vm):
             return False
-        self._given[program] = (vm, self._now() + PROMISE_SECONDS)
+        self._lease_by_program[program] = (vm, self._now() + PROMISE_SECONDS)
         return True
 
-    def binds(self, program: str) -> bool:
-        """Return whether this VM has to stay back."""
+    def is_leased(self, program: str) -> bool:
+        """Return whether another VM holds a lease on a program."""
         return self._holder(program) is not None
 
-    def begin_asking(self, program: str) -> None:
-        """Take note that this VM asks the others."""
-        self._asking[program] = self._asking.get(program, 0) + 1
+    def begin_request(self, program: str) -> None:
+        """Take note that this VM has begun to ask the others for leases."""
+        self._open_requests[program] = self._open_requests.get(program, 0) + 1
 
-    def end_asking(self, program: str) -> None:
-        """Take note that it has the answers."""
-        left = self._asking[program] - 1
+    def end_request(self, program: str) -> None:
+        """Take note that this VM has the responses."""
+        left = self._open_requests[program] - 1
         if left:
-            self._asking[program] = left
+            self._open_requests[program] = left
         else:
-            del self._asking[program]
+            del self._open_requests[program]
 
     def _holder(self, program: str) -> str | None:
-        vm, until = self._given.get(program, (None, 0.0))
+        vm, until = self._lease_by_program.get(program, (None, 0.0))
         if vm is not None and until <= self._now():
-            del self._given[program]
+            del self._lease_by_program[program]
             return None
         return vm
--- a/postspring/peering/recorders.py
+++ b/postspring/peering/recorders.py
@@ -1,4 +1,4 @@
-"""VMs that reach the log, asked to record what this one can't."""
+"""VMs that reach the log, asked to append what this VM can't."""
 
 from collections.abc import Callable
 import functools
@@ -10,26 +10,28 @@
 from postspring import transport
 from postspring.transport import timers as timers_module
 
-__all__ = ["LogReachers", "Recorders"]
-
-# For how long a VM that said so counts as one that reaches the log, in
-# seconds: about as long as the log is silent before a VM says the opposite.
-REACHES_SECONDS = 1.0
-# One that has not recorded by then gets help, in seconds: usually it takes
-# some ms, and one lost answer is made up for within this time.
-NEXT_SECONDS = 0.15
-# VMs that may record the same turns.
-MOST_ASKED = 3
-# If nobody has said so, answers that come a little later are waited for, in
-# seconds: VMs answer in some ms, and two copies are enough to go on.
-LATE_ANSWER_SECONDS = 0.03
-# For how long nobody is waited for after that was in vain, in seconds: in an
-# outage for all each turn would end so much later.
-NOBODY_SECONDS = 0.5
-
-
-class LogReachers:
-    """Which VMs said a moment ago that they reach the log.
+__all__ = ["RemoteRecorder", "VmsWithLog"]
+
+# Age up to which a VM's report that it reaches the log is relied on: about the
+# time without a response after which a VM reports the opposite.
+LOG_REPORT_SECONDS = 1.0
+# If a VM has not appended the records by then, the next one is asked as well:
+# usually it takes some ms, and one lost response is made up for within this
+# time.
+RECORD_HEDGE_SECONDS = 0.15
+# Most VMs that may append the same turns.
+MAX_RECORDERS = 3
+# Reports come with the responses to requests to keep copies, and the wait for
+# these ends with the second one.  Without any report, those that arrive within
+# this time are waited for; VMs respond in some ms.
+LATE_REPORT_SECONDS = 0.03
+# Time without further waits after one that ended without a report: when the
+# log is unreachable for all VMs, each turn would end that much later.
+NO_RECORDER_SECONDS = 0.5
+
+
+class VmsWithLog:
+    """VMs that reported a moment ago that they reach the log.
 
     Parameters
     ==========
@@ -41,52 +43,56 @@
     ========
 
     >>> time = [0.0]
-    >>> reachers = LogReachers(lambda: time[0])
+    >>> with_log = VmsWithLog(lambda: time[0])
     >>> vm = members_module.Member("a", "a/1", "z", ("h", 1), ("h", 2))
-    >>> reachers.note(vm, reaches_log=True)
-    >>> reachers.known == [vm]
+    >>> with_log.note(vm, reaches_log=True)
+    >>> with_log.current == [vm]
     True
-    >>> reachers.note(vm, reaches_log=False)
-    >>> reachers.known
+    >>> with_log.note(vm, reaches_log=False)
+    >>> with_log.current
     []
     """
 
     def __init__(self, now: Callable[[], float]):
         self._now = now
-        self._nobody_until = -math.inf
-        self._said_by_name: dict[str, tuple[members_module.Member, float]] = {}
+        self._none_until = -math.inf
+        self._report_by_name: dict[
+            str, tuple[members_module.Member, float]
+        ] = {}
 
     def note(self, member: members_module.Member, reaches_log: bool) -> None:
-        """Take note of what a VM says of itself."""
-        self._said_by_name.pop(member.name, None)
+        """Take note of a VM's report on itself."""
+        self._report_by_name.pop(member.name, None)
         if reaches_log:
-            self._said_by_name[member.name] = (member, self._now())
+            self._report_by_name[member.name] = (member, self._now())
 
     @property
-    def may_come(self) -> bool:
-        """Whether one that reaches the log may still say so."""
-        return self._now() >= self._nobody_until
+    def may_appear(self) -> bool:
+        """Whether it is worth waiting for a VM's report."""
+        return self._now() >= self._none_until
 
-    def note_nobody(self) -> None:
-        """Take note that none has said so in time."""
-        self._nobody_until = self._now() + NOBODY_SECONDS
+    def note_none(self) -> None:
+        """Take note that no VM has reported in time."""
+        self._none_until = self._now() + NO_RECORDER_SECONDS
 
     @property
-    def known(self) -> list[members_module.Member]:
-        """Those VMs, the one that said so last first."""
-        oldest = self._now() - REACHES_SECONDS
-        said = reversed(self._said_by_name.values())
-        return [member for member, at in said if at > oldest]
+    def current(self) -> list[members_module.Member]:
+        """These VMs, the latest report first."""
+        oldest = self._now() - LOG_REPORT_SECONDS
+        reports = reversed(self._report_by_name.values())
+        return [member for member, at in reports if at > oldest]
 
 
-class Recorders:
-    """Has turns recorded by VMs that said that they reach the log.
+class RemoteRecorder:
+    """Has turns appended by VMs that reported that they reach the log.
 
     Parameters
     ==========
 
     http : HttpClient
         Carries the requests.
+    timers : Timers
+        Time, and delays of requests.
     """
 
     def __init__(
@@ -94,7 +100,7 @@
     ):
         self._http = http
         self._timers = timers
-        self.reachers = LogReachers(timers.now)
+        self.with_log = VmsWithLog(timers.now)
 
     def record(
         self,
@@ -102,9 +108,9 @@
         timeout: float,
         on_done: Callable[[bool], None],
     ) -> None:
-        """Tell within some seconds whether a VM has recorded all turns."""
-        if not self.reachers.known and self.reachers.may_come:
-            seconds = min(LATE_ANSWER_SECONDS, timeout)
+        """Report within ``timeout`` whether a VM has appended all turns."""
+        if not self.with_log.current and self.with_log.may_appear:
+            seconds = min(LATE_REPORT_SECONDS, timeout)
             self._timers.call_later(
                 seconds, self._send, turns, timeout - seconds, on_done
             )
@@ -117,30 +123,31 @@
         timeout: float,
         on_done: Callable[[bool], None],
     ) -> None:
-        vms = self.reachers.known
+        vms = self.with_log.current
         if not vms:
-            self.reachers.note_nobody()
+            self.with_log.note_none()
         _RecordCall(
             self._http,
             self._timers,
             vms,
-            lambda member: self.reachers.note(member, False),
+            lambda member: self.with_log.note(member, False),
             on_done,
         ).send(turns, timeout)
 
 
 class _RecordCall:
-    """Has records written by one VM, and by the next if that takes long.
+    """Hedged request: asks a VM, and the next one if the first is late.
 
     Parameters
     ==========
 
     vms : list of Member
-        Whom to ask, first to last.
+        VMs to ask, first to last.
     on_refused : callable
-        Told of each VM that does not reach the log after all.
+        Called with each VM that refuses, as it doesn't reach the log or is
+        shutting down.
     on_done : callable
-        Told once whether a VM has recorded all.
+        Called once with whether a VM has appended all turns.
     """
 
     def __init__(
@@ -153,17 +160,17 @@
     ):
         self._http = http
         self._timers = timers
-        self._left = vms[:MOST_ASKED]
+        self._remaining = vms[:MAX_RECORDERS]
         self._on_refused = on_refused
         self._on_done: Callable[[bool], None] | None = on_done
-        self._open = 0
+        self._pending = 0
         self._ends_at = timers.now()
 
     def send(self, turns: list[bytes], timeout: float) -> None:
-        """Ask the first VM; all together have some seconds."""
+        """Ask the first VM; all requests together have ``timeout`` seconds."""
         body = messages.encode(messages.RecordRequest(turns))
         self._ends_at += timeout
-        if self._left:
+        if self._remaining:
             self._ask_next(body)
         else:
             self._finish(False)
@@ -172,19 +179,19 @@
 
     def _ask_next(self, body: bytes) -> None:
         seconds = self._ends_at - self._timers.now()
-        if not self._left or self._on_done is None or seconds <= 0:
+        if not self._remaining or self._on_done is None or seconds <= 0:
             return
-        member = self._left.pop(0)
-        self._open += 1
+        member = self._remaining.pop(0)
+        self._pending += 1
         request = messages.request_to(
             member.peers, messages.RECORD_PATH, body, seconds
         )
         collector = transport.AnswerCollector(
             functools.partial(self._answered, member, body),
-            functools.partial(self._unanswered, body),
+            functools.partial(self._on_transport_error, body),
         )
         self._http.send(request, collector)
-        self._timers.call_later(NEXT_SECONDS, self._ask_next, body)
+        self._timers.call_later(RECORD_HEDGE_SECONDS, self._ask_next, body)
 
     def _answered(
         self,
@@ -193,20 +200,22 @@
         status: int,
         answer: bytes,
     ) -> None:
-        self._open -= 1
+        self._pending -= 1
         if status == 200:
             self._finish(True)
             return
         self._on_refused(member)
-        self._go_on(body)
+        self._try_next(body)
 
-    def _unanswered(self, body: bytes, error: errors.TransportError) -> None:
-        self._open -= 1
-        self._go_on(body)
+    def _on_transport_error(
+        self, body: bytes, error: errors.TransportError
+    ) -> None:
+        self._pending -= 1
+        self._try_next(body)
 
-    def _go_on(self, body: bytes) -> None:
+    def _try_next(self, body: bytes) -> None:
         self._ask_next(body)
-        if not self._open:
+        if not self._pending:
             self._finish(False)
 
     def _finish(self, is_recorded: bool) -> None:
--- a/postspring/peering/replicas.py
+++ b/postspring/peering/replicas.py
@@ -1,4 +1,4 @@
-"""Asking VMs to keep records: how many are asked, and who comes next."""
+"""Requests to keep copies of records: how many VMs, and in which order."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -8,86 +8,94 @@
 from postspring.peering import messages
 from postspring import transport
 
-__all__ = ["ENOUGH_COPIES", "REPLICAS_ASKED", "Replicas", "in_order"]
+__all__ = [
+    "PARALLEL_REQUESTS",
+    "ReplicationCall",
+    "TARGET_COPIES",
+    "holder_order",
+]
 
-# VMs that are asked to keep a record at the same time, and how many copies
-# are waited for while more may come.  VMs are killed one after the other,
-# also while the log is away.
-REPLICAS_ASKED = 4
-ENOUGH_COPIES = 2
+# VMs that are asked to keep a record in parallel, and number of copies that
+# ends the wait for more.  VMs are killed one after the other, also while the
+# log is unreachable, so one copy is not enough.
+PARALLEL_REQUESTS = 4
+TARGET_COPIES = 2
 
 
-def in_order(
+def holder_order(
     members: Sequence[members_module.Member],
     data_center: str,
     is_avoided: Callable[[members_module.Member], bool],
 ) -> list[members_module.Member]:
-    """Return whom to ask, first to last.
+    """Return the VMs to ask, first to last.
 
-    One of this data centre, then others from elsewhere if possible; those
-    that did not keep a record a moment ago come last.
+    One VM of this data centre, then VMs of other ones if there are any;
+    avoided VMs come last.
     """
     near = [item for item in members if item.data_center == data_center]
     far = [item for item in members if item.data_center != data_center]
     near.sort(key=is_avoided)
     far.sort(key=is_avoided)
-    split = REPLICAS_ASKED - 1
+    split = PARALLEL_REQUESTS - 1
     found = [*near[:1], *far[:split], *near[1:], *far[split:]]
     return sorted(found, key=is_avoided)
 
 
-class Replicas:
-    """Asks VMs, and the next ones in place of those that don't keep it.
+class ReplicationCall:
+    """Asks VMs to keep records, and replaces those that don't.
 
     Explanation
     ===========
 
-    A VM that refuses is stopping, and another one is asked at once.  In
-    place of one that does not answer another is asked if nobody has kept the
-    records: in a cut nobody elsewhere answers, and callers wait.
+    A VM that refuses is shutting down, and the next one is asked at once.  A
+    VM that does not respond is replaced only while there is no copy: in a cut
+    no VM elsewhere responds, and callers wait.
 
     Parameters
     ==========
 
     holders : list of Member
-        Whom to ask, first to last.
-    is_thorough : bool
-        Nobody waits: ask until there are enough copies, or nobody is left.
+        VMs to ask, first to last.
+    is_exhaustive : bool
+        No caller waits: VMs that don't respond are always replaced, until
+        there are enough copies or all VMs have been asked.
     on_kept : callable
-        Told of each VM that keeps them, and whether it reaches the log.
+        Called with each VM that keeps the records, and whether it reaches the
+        log.
     on_failed : callable
-        Told of each VM that did not keep the records, and whether it said
-        so: it is stopping.
+        Called with each VM that did not keep the records, and whether that is
+        because it is shutting down.
     on_done : callable
-        Told once how many did, when they are enough or no more come.
+        Called once with the number of copies, when there are enough or no more
+        can come.
     """
 
     def __init__(
         self,
         http: transport.HttpClient,
         holders: list[members_module.Member],
-        is_thorough: bool,
+        is_exhaustive: bool,
         on_kept: Callable[[members_module.Member, bool], None],
         on_failed: Callable[[members_module.Member, bool], None],
         on_done: Callable[[int], None],
     ):
         self._http = http
-        self._left = list(holders)
-        self._is_thorough = is_thorough
+        self._remaining = list(holders)
+        self._is_exhaustive = is_exhaustive
         self._on_kept = on_kept
         self._on_failed = on_failed
         self._on_done: Callable[[int], None] | None = on_done
-        self._open = 0
+        self._pending = 0
         self._kept = 0
 
     def send(
         self, records: list[bytes], seconds: float, is_log_away: bool = False
     ) -> None:
-        """Ask the first VMs; each one has some seconds to answer."""
+        """Ask the first VMs; each one has some seconds to respond."""
         body = messages.encode(messages.KeepRequest(records, is_log_away))
-        first = self._left[:REPLICAS_ASKED]
-        self._left = self._left[REPLICAS_ASKED:]
-        self._open = len(first)
+        first = self._remaining[:PARALLEL_REQUESTS]
+        self._remaining = self._remaining[PARALLEL_REQUESTS:]
+        self._pending = len(first)
         for member in first:
             self._ask(member, body, seconds)
         if not first:
@@ -102,23 +110,23 @@
             if status == 200:
                 self._kept += 1
                 self._on_kept(member, _reaches_log(answer))
-                ended(False)
+                settle(False)
             else:
                 self._on_failed(member, status == messages.STOPPING_STATUS)
-                ended(True)
+                settle(True)
 
         def unanswered(error) -> None:
             self._on_failed(member, False)
-            ended(self._is_thorough or not self._kept)
-
-        def ended(asks_next: bool) -> None:
-            self._open -= 1
-            is_wanted = self._on_done is not None
-            is_wanted = is_wanted and self._kept < ENOUGH_COPIES
-            if asks_next and is_wanted and self._left:
-                self._open += 1
-                self._ask(self._left.pop(0), body, seconds)
-            elif self._kept >= ENOUGH_COPIES or not self._open:
+            settle(self._is_exhaustive or not self._kept)
+
+        def settle(asks_next: bool) -> None:
+            self._pending -= 1
+            needs_more = self._on_done is not None
+            needs_more = needs_more and self._kept < TARGET_COPIES
+            if asks_next and needs_more and self._remaining:
+                self._pending += 1
+                self._ask(self._remaining.pop(0), body, seconds)
+            elif self._kept >= TARGET_COPIES or not self._pending:
                 self._finish()
 
         request = messages.request_to(
@@ -134,8 +142,8 @@
 
 
 def _reaches_log(answer: bytes) -> bool:
-    """Return what a VM that keeps a record says of itself."""
+    """Return whether a response says that its VM reaches the log."""
     try:
-        return messages.decode(messages.Kept, answer).reaches_log
+        return messages.decode(messages.KeepResponse, answer).reaches_log
     except errors.PeerError:
         return False
--- a/postspring/peering/search.py
+++ b/postspring/peering/search.py
@@ -1,4 +1,4 @@
-"""The answers of other VMs to one question, and what they add up to."""
+"""The responses of other VMs to one query, and their combination."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -18,22 +18,24 @@
 
 
 class Search:
-    """Collects the answers to one question.
+    """Asks VMs in stages and collects their responses.
 
     Parameters
     ==========
 
     others : list of Member
-        All VMs that might know something.
+        All VMs that may have a part of the answer.
     stages : list of list of Member
-        Whom to ask first, and whom if none of those can take the turn.
+        VMs to ask first, and those to ask if none of them can run the turn.
     ask : callable
-        Sends the question to some VMs, or returns that it may not: then
-        they count as not heard.
+        Sends the query to some VMs; returns False if the rate limit forbids
+        it, and then the search ends without their responses.
+    on_done : callable
+        Called with the search when it has ended.
     absent : list of Member
-        VMs that can't be asked and may be alive.
-    hears_all : bool
-        A VM that can take the turn does not end the search.
+        VMs that can't be asked and may be running still.
+    awaits_all : bool
+        The search doesn't end with the first VM that can run the turn.
     """
 
     def __init__(
@@ -43,16 +45,16 @@
         ask: Callable[[list[members_module.Member]], bool],
         on_done: Callable[["Search"], None],
         absent: Sequence[members_module.Member] = (),
-        hears_all: bool = False,
+        awaits_all: bool = False,
     ):
-        self._hears_all = hears_all
+        self._awaits_all = awaits_all
         self._absent = absent
         self._stages = stages
         self._ask = ask
         self._others = others
         self._on_done = on_done
         self._answers: dict[str, messages.Found] = {}
-        self._open = 0
+        self._pending = 0
         self._taker: members_module.Member | None = None
         self._chain_holder: members_module.Member | None = None
         self._is_finished = False
@@ -61,11 +63,13 @@
     def take(
         self, member: members_module.Member, status: int, body: bytes
     ) -> None:
-        """Take one VM's answer."""
+        """Handle a VM's response."""
         try:
             found = messages.decode(messages.Found, body)
         except errors.PeerError as error:
-            LOG.warning("peer's answer", extra={"error": str(error)})
+            LOG.warning(
+                "malformed response from peer", extra={"error": str(error)}
+            )
             self.failed()
             return
         self.answered(member, found)
@@ -73,7 +77,7 @@
     def answered(
         self, member: members_module.Member, found: messages.Found
     ) -> None:
-        """Take an answer; the first VM that can take the turn ends it."""
+        """Add a response; end the search if its VM can run the turn."""
         self._answers[member.name] = found
         if found.can_take and self._taker is None:
             self._taker = member
@@ -83,43 +87,43 @@
 
     @property
     def answer_by_name(self) -> Mapping[str, messages.Found]:
-        """What each VM that was heard has answered."""
+        """The response of each VM that has responded."""
         return self._answers
 
     def failed(self) -> None:
-        """Take note that a VM did not answer."""
+        """Take note that a VM did not respond."""
         self._count_down()
 
     def start(self) -> None:
-        """Ask the next VMs, or report if there are none left."""
+        """Ask the next stage, or report the end if there is none left."""
         while self._stages:
             stage = self._stages.pop(0)
             if not stage:
                 continue
-            self._open = len(stage)
+            self._pending = len(stage)
             if self._ask(stage):
                 return
-            self._open = 0
+            self._pending = 0
             self._stages = []
             self._is_refused = True
         self._is_finished = True
         self._on_done(self)
 
     def _count_down(self) -> None:
-        self._open -= 1
-        is_found = self._taker is not None and not self._hears_all
-        if self._is_finished or (self._open and not is_found):
+        self._pending -= 1
+        has_taker = self._taker is not None and not self._awaits_all
+        if self._is_finished or (self._pending and not has_taker):
             return
-        if is_found:
+        if has_taker:
             self._stages = []
         self.start()
 
     def finding(
         self, own: members_module.Member, is_complete: bool
     ) -> forwarding.Finding:
-        """Return what the answers add up to."""
+        """Return the combination of all responses."""
         answers = self._answers.values()
-        here_answered = all(
+        has_local_answers = all(
             member.name in self._answers
             for member in (*self._others, *self._absent)
             if member.data_center == own.data_center
@@ -129,15 +133,16 @@
         return forwarding.Finding(
             taker=_as_upstream(self._taker),
             chain_holder=_as_upstream(self._chain_holder),
-            # Those that were asked can't speak for the others.
+            # The VMs that were asked can't answer for those that the rate
+            # limit left out.
             is_answered=bool(answers) and not self._is_refused,
             is_refused=self._is_refused,
             doubts=doubts,
-            has_gone_on=any(item.has_gone_on for item in answers),
-            is_known=any(item.knows for item in answers),
-            is_certain=complete and here_answered and not self._is_refused,
-            is_deferred=any(item.goes_first for item in answers),
-            is_known_turn=any(item.knows_turn for item in answers),
+            has_gone_on=any(item.may_be_offline_elsewhere for item in answers),
+            is_known=any(item.has_program for item in answers),
+            is_certain=complete and has_local_answers and not self._is_refused,
+            is_deferred=any(item.is_leased_elsewhere for item in answers),
+            is_known_turn=any(item.has_turn for item in answers),
             charged=max((item.charged for item in answers), default=0),
             home_tokens=sum(item.home_tokens for item in answers),
             unsettled={
@@ -149,16 +154,16 @@
         )
 
     def _doubts(self, is_complete: bool) -> tuple[forwarding.Doubt, ...]:
-        """Return why a VM may keep what nobody told of."""
-        # A VM that was started lately has lost what it kept before.
-        restarted = not all(
+        """Return why a VM may have a turn that no response mentioned."""
+        # A VM that was started lately has lost the turns it had in memory.
+        has_restarted = not all(
             item.is_complete for item in self._answers.values()
         )
         holds_by_doubt = {
             forwarding.Doubt.VM_UNHEARD: len(self._answers)
             < len(self._others),
             forwarding.Doubt.VM_ABSENT: bool(self._absent),
-            forwarding.Doubt.VM_RESTARTED: restarted,
+            forwarding.Doubt.VM_RESTARTED: has_restarted,
             forwarding.Doubt.STARTED_LATELY: not is_complete,
         }
         return tuple(doubt for doubt, holds in holds_by_doubt.items() if holds)
--- a/postspring/peering/service.py
+++ b/postspring/peering/service.py
@@ -1,4 +1,4 @@
-"""What an entry VM does for the others."""
+"""Server side of peering: handles the requests of other VMs."""
 
 from collections.abc import Callable
 import logging
@@ -7,57 +7,60 @@
 from postspring import histories
 from postspring import keyedlog
 from postspring.peering import messages
-from postspring.peering import promises as promises_module
+from postspring.peering import promises as leases_module
 from postspring import transport
 
 __all__ = ["PeerService"]
 
 LOG = logging.getLogger(__name__)
 
-# Passes a call on to the log: method, path, body, and who takes the answer.
-PassOn = Callable[[str, str, bytes, Callable[[int, bytes], None]], None]
+# Forwards a call to the log: method, path, body, and a callback that gets
+# status and body of the response.
+ForwardCall = Callable[[str, str, bytes, Callable[[int, bytes], None]], None]
 TakeLoads = Callable[[messages.LoadsReport], messages.Loads]
-Permit = Callable[[messages.PermitRequest], messages.Permit]
+AnswerPermit = Callable[[messages.PermitRequest], messages.PermitResponse]
 
 
 class PeerService:
-    """Answers other VMs' requests.
+    """Handles requests of other VMs.
 
     Parameters
     ==========
 
-    pass_on : callable
-        Makes a call to the log for another VM.
-    promises : Promises
-        Which VM may let a program go on.
+    journal : Journal
+        The turns that this VM has in memory.
+    forward_call : callable
+        Forwards another VM's call to the log.
+    leases : Promises
+        Leases on programs, granted to other VMs.
+    is_complete : callable
+        Returns whether this VM has every turn that ended here lately.
     view_of : callable
-        Returns what this VM knows of a subject, or None.
+        Returns the records of a subject that this VM has read, or None.
     introduce : callable
-        Told the name and the entry of a VM that may be new.
-    is_complete : callable
-        Returns whether this VM knows all that began here lately.
+        Called with name and entry of a VM that may be new.
     takes_copies : callable
-        Returns whether this VM stays: one that was told to stop keeps
-        nothing more, and others are asked at once.
+        Returns whether this VM stays up: one that is shutting down refuses
+        copies, and the sender asks others at once.
     is_direct : callable
-        Returns whether this VM reaches the log itself.
+        Returns whether the direct path from this VM leads to the log.
     reaches_log : callable
-        Returns whether the log takes calls of this VM, though the answers
-        of some may be lost.
+        Returns whether the log accepts calls of this VM, though some of its
+        responses may be lost.
     takes_work : callable
-        Returns whether this VM takes new calls: one that is about to end
-        refuses them, so it tells nobody that it could run a turn.
+        Returns whether this VM accepts new calls: one that is about to stop
+        refuses them, so it must not report that it could run a turn.
     take_loads : callable
-        Takes what another VM has in flight, returns what all others have.
+        Stores another VM's calls in flight, returns those of all others.
     permit : callable
-        Answers whether a workspace's request may run.
+        Decides whether a workspace's request may run.
     """
 
     def __init__(
         self,
         journal: histories.Journal,
-        pass_on: PassOn,
-        promises: promises_module.Promises,
+        forward_call: ForwardCall,
+        leases: leases_module.Promises,
         is_complete: Callable[[], bool],
         view_of: Callable[[str], keyedlog.LogPage | None],
         introduce: Callable[[str, bytes], None],
@@ -66,7 +69,7 @@
         reaches_log: Callable[[], bool] = lambda: False,
         takes_work: Callable[[], bool] = lambda: True,
         take_loads: TakeLoads | None = None,
-        permit: Permit | None = None,
+        permit: AnswerPermit | None = None,
     ):
         self._permit = permit
         self._take_loads = take_loads
@@ -77,16 +80,16 @@
         self._introduce = introduce
         self._view_of = view_of
         self._journal = journal
-        self._pass_on = pass_on
-        self._promises = promises
+        self._forward_call = forward_call
+        self._leases = leases
         self._is_complete = is_complete
 
     def handle(self, call: transport.IncomingCall) -> None:
-        """Answer one request."""
+        """Handle one request."""
         prefix = messages.STORE_PREFIX
         try:
             if call.target.startswith(prefix):
-                self._pass(call, call.target[len(prefix) :])
+                self._forward_store_call(call, call.target[len(prefix) :])
             elif call.target == messages.KEEP_PATH:
                 self._keep(call)
             elif call.target == messages.RECORD_PATH:
@@ -106,11 +109,15 @@
             else:
                 call.respond(404, [])
         except (errors.PeerError, histories.HistoryError) as error:
-            LOG.warning("peer's request", extra={"error": str(error)})
+            LOG.warning(
+                "invalid request from peer", extra={"error": str(error)}
+            )
             call.respond(400, [])
 
-    def _pass(self, call: transport.IncomingCall, path: str) -> None:
-        # One that is turned away as well would hold the call for 1.2 s.
+    def _forward_store_call(
+        self, call: transport.IncomingCall, path: str
+    ) -> None:
+        # A call that fails here as well would take 1.2 s to time out.
         if not self._is_direct():
             call.respond(503, [])
             return
@@ -118,7 +125,7 @@
         def answered(status: int, body: bytes) -> None:
             call.respond(status, [], body)
 
-        self._pass_on(call.method, path, call.body, answered)
+        self._forward_call(call.method, path, call.body, answered)
 
     def _keep(self, call: transport.IncomingCall) -> None:
         request = messages.decode(messages.KeepRequest, call.body)
@@ -127,13 +134,13 @@
             return
         for record in request.records:
             self._journal.keep_copy(record, request.is_log_away)
-        kept = messages.Kept(reaches_log=self._reaches_log())
+        kept = messages.KeepResponse(reaches_log=self._reaches_log())
         call.respond(200, [], messages.encode(kept))
 
     def _record(self, call: transport.IncomingCall) -> None:
         request = messages.decode(messages.RecordRequest, call.body)
         if not self._takes_copies() or not self._reaches_log():
-            call.respond(messages.WITHOUT_LOG_STATUS, [])
+            call.respond(messages.LOG_UNREACHABLE_STATUS, [])
             return
         self._journal.record_for_another(
             request.turns, lambda: call.respond(200, [])
@@ -159,35 +166,39 @@
         journal = self._journal
         program = histories.ProgramId(request.program)
         previous = request.previous
-        knows_turn = has_chain = False
+        has_turn = has_chain = False
         if previous is not None:
             ref = journal.ref_of(program, histories.TurnId(previous))
-            knows_turn = journal.known_turn(ref) is not None
+            has_turn = journal.known_turn(ref) is not None
             has_chain = journal.known_chain(ref) is not None
         if request.entry:
             self._introduce(request.vm, request.entry)
-        has_gone_on = self._promises.has_gone_on(
+        was_requested_elsewhere = self._leases.was_requested_elsewhere(
             request.program, request.incarnation
         )
-        goes_first = False
-        if request.for_home:
-            self._promises.remember(request.program, request.incarnation)
-            # Who looks for a VM to pass a turn on to lets nothing go on: a
-            # promise to it kept the one that it found from going on.
-            goes_first = not self._promises.give(request.program, request.vm)
+        is_leased_elsewhere = False
+        if request.is_offline_request:
+            self._leases.note_request(request.program, request.incarnation)
+            # A VM that only looks for one to forward a turn to runs nothing
+            # offline: a lease for it would keep the VM that it finds from
+            # running the program.
+            is_leased_elsewhere = not self._leases.grant(
+                request.program, request.vm
+            )
         can_take = journal.can_take(program, previous, request.ceiling)
         found = messages.Found(
             can_take=can_take and self._takes_work(),
-            knows=journal.knows(program),
-            knows_turn=knows_turn,
+            has_program=journal.knows(program),
+            has_turn=has_turn,
             is_complete=self._is_complete(),
             has_chain=has_chain and self._takes_work(),
             charged=journal.charged(program),
             home_tokens=journal.accounts.home_tokens(program),
-            goes_first=goes_first,
-            has_gone_on=has_gone_on,
+            is_leased_elsewhere=is_leased_elsewhere,
+            may_be_offline_elsewhere=was_requested_elsewhere,
             unsettled=list(journal.unsettled(program).items()),
             home_left=journal.home_left(program),
-            knows_homes=journal.knows_homes or self._promises.owes_any,
+            knows_homes=journal.knows_homes
+            or self._leases.any_may_be_unsettled,
         )
         call.respond(200, [], messages.encode(found))
--- a/postspring/peering/settlement.py
+++ b/postspring/peering/settlement.py
@@ -1,8 +1,8 @@
-"""What a VM that was started lately has heard of the others' homes.
+"""Finds the programs that ran offline while this VM was down.
 
-A program that went on at a VM while the log was away may have spent there
-what the log does not charge yet.  Who lets one go on tells all others; a VM
-that was started since has not heard it, and asks.
+A program that ran offline at another VM may have used tokens that the log does
+not charge yet.  A VM asks all others before it runs a program offline; one
+that was down at that time has missed the query, and asks the others itself.
 """
 
 from collections.abc import Callable
@@ -12,36 +12,36 @@
 from postspring import histories
 from postspring.peering import members as members_module
 from postspring.peering import messages
-from postspring.peering import promises as promises_module
+from postspring.peering import promises as leases_module
 
 __all__ = ["Settlement"]
 
-# After an outage of the log its homes are recorded within seconds; a VM that
-# was started meanwhile asks for them for this long, in seconds.
-NEW_SECONDS = 8.0
-# Programs that a VM which was started lately keeps in mind as settled.
-MOST_SETTLED = 10_000
+# After an outage of the log, the turns of offline programs are recorded within
+# seconds; a VM that was started meanwhile asks for them for this long.
+STARTUP_SECONDS = 8.0
+# Most programs that a VM remembers as settled after its start.
+MAX_SETTLED_PROGRAMS = 10_000
 
 
 class Settlement:
-    """Which programs may owe what the log does not charge.
+    """Tracks the programs that may have turns the log doesn't charge yet.
 
     Explanation
     ===========
 
-    A VM that answers that no program went on at it, and that it has heard of
-    none elsewhere, needs no further question: whoever lets one go on
-    afterwards tells this VM, as it tells those that were not restarted.
+    A VM that responds that no program ran offline there, and that no other VM
+    has asked it for that, needs no further query: a VM that runs a program
+    offline afterwards asks this one first, like all others.
 
     Parameters
     ==========
 
     own : str
         This VM's incarnation.
-    promises : Promises
-        Who let programs go on, as far as this VM was told.
+    leases : Promises
+        The VMs that asked this one to run programs offline.
     is_complete : callable
-        Returns whether this VM knows all that began here lately.
+        Returns whether this VM has every turn that ended here lately.
     now : callable
         Monotonic time in seconds.
     """
@@ -49,17 +49,17 @@
     def __init__(
         self,
         own: str,
-        promises: promises_module.Promises,
+        leases: leases_module.Promises,
         is_complete: Callable[[], bool],
         now: Callable[[], float],
     ):
         self._own = own
-        self._promises = promises
+        self._leases = leases
         self._is_complete = is_complete
         self._now = now
         self._started_at = now()
         self._settled: dict[histories.ProgramId, None] = {}
-        self._without_homes: set[str] = set()
+        self._without_offline: set[str] = set()
         self._waiting: list[Callable[[], None]] | None = None
 
     def may_owe(
@@ -67,38 +67,42 @@
         program: histories.ProgramId,
         listed: Iterable[members_module.Member],
     ) -> bool:
-        """Return whether other VMs may have turns that are not charged."""
-        if self._promises.owes(program, self._own):
+        """Return whether other VMs may have turns that aren't charged yet."""
+        if self._leases.may_be_unsettled(program, self._own):
             return True
-        # Whoever lets it go on after that has told this VM, too.
+        # A VM that has begun to run it offline after that has asked this VM.
         is_settled = program in self._settled
-        return not is_settled and self._is_new and bool(self._unheard(listed))
+        return (
+            not is_settled
+            and self._is_new
+            and bool(self._may_have_offline(listed))
+        )
 
-    def to_ask(
+    def vms_to_ask(
         self,
         program: histories.ProgramId,
         listed: Iterable[members_module.Member],
     ) -> list[members_module.Member]:
-        """Return the VMs that may know what a program owes."""
-        if self._promises.owes(program, self._own):
+        """Return the VMs that may have uncharged turns of a program."""
+        if self._leases.may_be_unsettled(program, self._own):
             return list(listed)
-        return self._unheard(listed)
+        return self._may_have_offline(listed)
 
     def note_answer(
         self, member: members_module.Member, found: messages.Found
     ) -> None:
-        """Take note of what a VM says of its homes."""
+        """Take note of a VM's response on its offline programs."""
         if not found.knows_homes:
-            self._without_homes.add(member.incarnation)
+            self._without_offline.add(member.incarnation)
 
     def note_finding(
         self, program: histories.ProgramId, finding: forwarding.Finding
     ) -> None:
-        """Take note of what all that were asked say of a program."""
-        is_heard = forwarding.Doubt.VM_UNHEARD not in finding.doubts
-        if is_heard and not finding.unsettled and not finding.home_left:
-            self._promises.note_settled(program)
-            if len(self._settled) < MOST_SETTLED:
+        """Take note of the combined responses for a program."""
+        has_all_answers = forwarding.Doubt.VM_UNHEARD not in finding.doubts
+        if has_all_answers and not finding.unsettled and not finding.home_left:
+            self._leases.note_settled(program)
+            if len(self._settled) < MAX_SETTLED_PROGRAMS:
                 self._settled[program] = None
 
     def ask_once(
@@ -106,40 +110,40 @@
         program: histories.ProgramId,
         ask: Callable[[Callable[[], None]], None],
     ) -> None:
-        """Ask, or wait for the first question's answers and ask then.
+        """Ask now, or after the responses to a query that is under way.
 
-        Most likely they leave nobody to be asked for another program.
+        Most likely these leave no VM to be asked for another program.
 
         Parameters
         ----------
         ask : callable
-            Asks; takes what to call once all have answered.
+            Sends the query; gets a callback to call after all responses.
         """
-        if self._promises.owes(program, self._own):
+        if self._leases.may_be_unsettled(program, self._own):
             ask(lambda: None)
         elif self._waiting is not None:
             self._waiting.append(lambda: ask(lambda: None))
         else:
             self._waiting = []
-            ask(self._answered)
+            ask(self._first_answered)
 
     # -- own ------------------------------------------------------------------
 
     @property
     def _is_new(self) -> bool:
         uptime = self._now() - self._started_at
-        return uptime < NEW_SECONDS and not self._is_complete()
+        return uptime < STARTUP_SECONDS and not self._is_complete()
 
-    def _unheard(
+    def _may_have_offline(
         self, listed: Iterable[members_module.Member]
     ) -> list[members_module.Member]:
         return [
             member
             for member in listed
-            if member.incarnation not in self._without_homes
+            if member.incarnation not in self._without_offline
         ]
 
-    def _answered(self) -> None:
+    def _first_answered(self) -> None:
         waiting, self._waiting = self._waiting or [], None
         for ask in waiting:
             ask()
--- a/postspring/peering/sightings.py
+++ b/postspring/peering/sightings.py
@@ -1,8 +1,9 @@
-"""Upstreams that are probably dead, told along with the loads.
+"""Exchange of suspicions against upstreams, sent along with the loads.
 
-A VM tells the collector of its data centre of calls that broke.  Collectors
-tell each other, and their VMs what is suspected; a VM that has heard from a
-suspected upstream since says so with its next report, 0.2 s later.
+A VM reports broken calls to the collector of its data centre.  Collectors
+forward such reports to each other and answer their VMs with the suspected
+upstreams; a VM to which a suspected upstream has responded since then says so
+in its next report, 0.2 s later.
 """
 
 from collections.abc import Callable
@@ -10,16 +11,16 @@
 
 from postspring import upstreams
 
-__all__ = ["Sightings"]
+__all__ = ["SuspicionExchange"]
 
-# Incarnation, seconds since then, broken calls; see messages.LoadsReport.
+# Incarnation, age in seconds, broken calls; see messages.LoadsReport.
 PackedSighting = tuple[str, float, int]
 # Incarnation, and seconds since calls last broke there.
 Suspect = tuple[str, float]
 
 
-class Sightings:
-    """What this VM saw of upstreams, and as collector what others saw.
+class SuspicionExchange:
+    """Observations of upstreams: this VM's, and those a collector gets.
 
     Parameters
     ==========
@@ -36,12 +37,12 @@
         self._directory = directory
         self._now = now
         self._board = upstreams.SuspicionBoard()
-        self._to_pass_on: list[PackedSighting] = []
+        self._unforwarded: list[PackedSighting] = []
 
     # -- of this VM -----------------------------------------------------------
 
-    def own(self) -> list[PackedSighting]:
-        """Return what this VM saw that it has not told yet."""
+    def take_own(self) -> list[PackedSighting]:
+        """Return this VM's observations that it has not reported yet."""
         now = self._now()
         found: list[PackedSighting] = []
         for upstream in self._directory.by_id.values():
@@ -56,8 +57,8 @@
                 found.append((upstream.incarnation, age, 0))
         return found
 
-    def heed(self, suspects: Iterable[Suspect]) -> None:
-        """Leave suspected upstreams alone, and no others."""
+    def apply(self, suspects: Iterable[Suspect]) -> None:
+        """Mark exactly these upstreams as suspected, all others as trusted."""
         now = self._now()
         age_by_upstream = dict(suspects)
         for upstream in self._directory.by_id.values():
@@ -72,12 +73,12 @@
     def collect(
         self, sightings: Iterable[PackedSighting], is_data_center: bool
     ) -> None:
-        """Take what a VM saw, or what another collector passes on."""
+        """Add the observations of a VM, or those forwarded by a collector."""
         now = self._now()
         for packed in sightings:
             self._board.take(upstreams.Sighting(*packed), now)
             if not is_data_center:
-                self._to_pass_on.append(packed)
+                self._unforwarded.append(packed)
 
     def suspects(self) -> list[Suspect]:
         """Return the suspected upstreams."""
@@ -87,7 +88,7 @@
             for upstream, broken_at in self._board.suspects(now).items()
         ]
 
-    def to_pass_on(self) -> list[PackedSighting]:
-        """Return what VMs of this data centre saw since the last time."""
-        found, self._to_pass_on = self._to_pass_on, []
+    def take_unforwarded(self) -> list[PackedSighting]:
+        """Return what VMs of this data centre reported since the last call."""
+        found, self._unforwarded = self._unforwarded, []
         return found
--- a/postspring/peering/tests/test_after_restart.py
+++ b/postspring/peering/tests/test_after_restart.py
@@ -144,7 +144,7 @@
         self.begin("p")
         self.clock.run_for(1.0)
         self.http.asked.clear()
-        self.promises.remember("q", "vm9/1")
+        self.leases.note_request("q", "vm9/1")
         self.assertTrue(self.client.may_owe(histories.ProgramId("q")))
         self.begin("q")
         self.assertEqual(test_questions.VMS - 1, len(self.http.asked))
--- a/postspring/peering/tests/test_questions.py
+++ b/postspring/peering/tests/test_questions.py
@@ -62,9 +62,9 @@
             is_announced=True,
             own_entry=b"",
         )
-        self.promises = peering.Promises("vm0", timers.now)
+        self.leases = peering.Promises("vm0", timers.now)
         self.client = peering.PeerClient(
-            self.http, members, self.promises, lambda: True, None, timers
+            self.http, members, self.leases, lambda: True, None, timers
         )
         self.findings = []
 
@@ -85,8 +85,8 @@
             self.ask(f"p{number}")
             self.clock.run_for(1 / TURNS_A_SECOND)
         most = (
-            message_budget.MOST_AT_ONCE
-            + SECONDS * message_budget.MESSAGES_A_SECOND
+            message_budget.MAX_BURST_MESSAGES
+            + SECONDS * message_budget.MESSAGES_PER_SECOND
         )
         self.assertLessEqual(self.http.sent, most)
         self.assertTrue(any(item.is_refused for item in self.findings))
@@ -111,7 +111,7 @@
 
     def setUp(self):
         super().setUp()
-        self.promises.remember("p", "vm7/1")
+        self.leases.note_request("p", "vm7/1")
 
     def test_it_is_asked_alone(self):
         self.http.taker = "vm7"
@@ -137,5 +137,5 @@
     def test_again_if_another_vm_lets_it_go_on(self):
         self.client._is_complete = lambda: False
         self.ask("p", forwarding.Question.UNSETTLED)
-        self.promises.remember("p", "vm9/1")
+        self.leases.note_request("p", "vm9/1")
         self.assertTrue(self.client.may_owe(histories.ProgramId("p")))
