--- a/postspring/peering/tests/test_after_restart.py
+++ b/postspring/peering/tests/test_after_restart.py
@@ -1,11 +1,11 @@
-"""What VMs that were started lately ask the others; no network.
-
-Pattern: all VMs of a fleet of 60 are killed at once and start again; callers
-go on with their programs, ever new ones for each VM.  Seen: for 8 s most
-turns were refused as ``budget_reserved`` (190 of 194 at eleven VMs), though
-the log was well.  Cause: a new VM asked all others once for each program
-whether it owes what the log does not charge, and may ask 60 VMs a second.
-Proof: ``is_refused`` in ``others`` of their lines.
+"""Queries of VMs that have just started, about offline programs.
+
+Guards against a flood of refused turns after all VMs of a fleet of 60 were
+killed and restarted at once: for 8 s most turns were refused as
+``budget_reserved`` (190 of 194 at eleven VMs) although the log worked.  Each
+new VM asked all others for each program whether it had used tokens that the
+log doesn't charge, and the rate limit for queries refused most of that
+(``is_refused`` in ``others`` of the log lines).
 """
 
 from postspring import forwarding
@@ -14,23 +14,26 @@
 from postspring.peering.tests import test_questions
 
 ANSWER_SECONDS = 0.005
-PROGRAMS_A_SECOND = 40
-NEW_SECONDS = 8
+PROGRAMS_PER_SECOND = 40
+STARTUP_SECONDS = 8
 UNSETTLED = forwarding.Question.UNSETTLED
 
 
-class Http:
-    """Answers after some ms; some VMs know of homes, some are silent."""
+class PeerHttp:
+    """Responds after some ms, for VMs with and without offline programs.
+
+    Silent VMs let the request time out.
+    """
 
     def __init__(self, clock):
         self._clock = clock
         self.asked = []
-        self.with_homes = set()
+        self.offline_vms = set()
         self.silent = set()
         self.unsettled = []
 
     def send(self, request, collector):
-        """Answer for a VM."""
+        """Respond for a VM, unless it is silent."""
         name = request.address[0]
         self.asked.append(name)
         if name in self.silent:
@@ -38,14 +41,14 @@
                 request.timeout, collector.failed, Exception("timeout")
             )
             return
-        knows = name in self.with_homes
+        has_offline = name in self.offline_vms
         found = messages.Found(
             False,
             False,
             False,
             False,
-            unsettled=self.unsettled if knows else [],
-            knows_homes=knows,
+            unsettled=self.unsettled if has_offline else [],
+            knows_homes=has_offline,
         )
 
         def answer():
@@ -56,95 +59,95 @@
         self._clock.call_later(ANSWER_SECONDS, answer)
 
 
-class AfterRestartCase(test_questions.QuestionsCase):
-    """One VM of 60 that was started a moment ago."""
+class AfterRestartCase(test_questions.QueryCase):
+    """One VM of 60 that has just started."""
 
     def setUp(self):
         super().setUp()
-        self.http = self.client._http = Http(self.clock)
+        self.http = self.client._http = PeerHttp(self.clock)
         self.client._is_complete = lambda: False
 
-    def run_turns(self, seconds):
-        """Ask for each new program that may owe; return the findings."""
+    def query_new_programs(self, seconds):
+        """Query for new programs that may be unsettled; return findings."""
         before = len(self.findings)
-        for number in range(round(seconds * PROGRAMS_A_SECOND)):
+        for number in range(round(seconds * PROGRAMS_PER_SECOND)):
             program = f"p{self.clock.now}-{number}"
             if self.client.may_owe(histories.ProgramId(program)):
-                self.begin(program)
-            self.clock.run_for(1 / PROGRAMS_A_SECOND)
+                self.query(program)
+            self.clock.run_for(1 / PROGRAMS_PER_SECOND)
         return self.findings[before:]
 
-    def begin(self, program):
-        """Ask for one program."""
+    def query(self, program):
+        """Query for a program."""
         facts = forwarding.CallFacts(
             "r", program=histories.ProgramId(program), ceiling=10
         )
         self.client.find(facts, self.findings.append, UNSETTLED)
 
 
-class AllStartedTest(AfterRestartCase):
-    """No VM knows of any home."""
+class NoOfflineProgramsTest(AfterRestartCase):
+    """No VM ran any program offline."""
 
     def test_no_turn_is_refused(self):
-        findings = self.run_turns(NEW_SECONDS)
+        findings = self.query_new_programs(STARTUP_SECONDS)
         self.assertFalse(any(item.is_refused for item in findings))
 
-    def test_each_vm_is_asked_once(self):
-        self.run_turns(NEW_SECONDS)
+    def test_each_vm_is_queried_once(self):
+        self.query_new_programs(STARTUP_SECONDS)
         others = test_questions.VMS - 1
         self.assertEqual(others, len(self.http.asked))
         self.assertEqual(others, len(set(self.http.asked)))
 
-    def test_turns_at_once_wait_for_the_same_answers(self):
+    def test_parallel_turns_share_one_query(self):
         for number in range(20):
-            self.begin(f"p{number}")
+            self.query(f"p{number}")
         self.clock.run_for(1.0)
         self.assertEqual(20, len(self.findings))
         self.assertFalse(any(item.is_refused for item in self.findings))
         self.assertEqual(test_questions.VMS - 1, len(self.http.asked))
 
 
-class SomeKnowTest(AfterRestartCase):
-    """Not all VMs can say that there are no homes."""
+class SomeOfflineProgramsTest(AfterRestartCase):
+    """Some VM has offline programs, or does not respond, or is new."""
 
-    def test_one_that_knows_of_homes_is_asked_for_each_program(self):
-        self.http.with_homes = {"vm7"}
-        self.begin("p")
+    def test_vm_with_offline_programs_is_queried_for_each_program(self):
+        self.http.offline_vms = {"vm7"}
+        self.query("p")
         self.clock.run_for(1.0)
         self.http.asked.clear()
         self.http.unsettled = [("t", 30)]
-        self.begin("q")
+        self.query("q")
         self.clock.run_for(1.0)
         self.assertEqual(["vm7"], self.http.asked)
         self.assertEqual({"t": 30}, self.findings[-1].unsettled)
 
-    def test_one_that_did_not_answer_is_asked_again(self):
+    def test_unresponsive_vm_is_queried_again(self):
         self.http.silent = {"vm7"}
-        self.begin("p")
+        self.query("p")
         self.clock.run_for(2.0)
         self.http.silent.clear()
         self.http.asked.clear()
         self.assertTrue(self.client.may_owe(histories.ProgramId("q")))
-        self.begin("q")
+        self.query("q")
         self.clock.run_for(1.0)
         self.assertEqual(["vm7"], self.http.asked)
         self.assertFalse(self.client.may_owe(histories.ProgramId("r")))
 
-    def test_a_vm_that_joins_is_asked(self):
-        self.begin("p")
+    def test_new_vm_is_queried(self):
+        self.query("p")
         self.clock.run_for(1.0)
         self.http.asked.clear()
         members = self.client._members
         members.listed = [*members.listed, test_questions.member(99)]
         self.assertTrue(self.client.may_owe(histories.ProgramId("q")))
-        self.begin("q")
+        self.query("q")
         self.assertEqual(["vm99"], self.http.asked)
 
-    def test_all_are_asked_when_one_lets_a_program_go_on_afterwards(self):
-        self.begin("p")
+    def test_all_are_queried_after_an_offline_request(self):
+        self.query("p")
         self.clock.run_for(1.0)
         self.http.asked.clear()
         self.leases.note_request("q", "vm9/1")
         self.assertTrue(self.client.may_owe(histories.ProgramId("q")))
-        self.begin("q")
+        self.query("q")
         self.assertEqual(test_questions.VMS - 1, len(self.http.asked))
--- a/postspring/peering/tests/test_failover.py
+++ b/postspring/peering/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""The log by way of other VMs, in virtual time."""
+"""Calls to the log through other VMs, in virtual time."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class FailoverCase(unittest.TestCase):
-    """One VM before a log, and another VM that helps."""
+    """One VM and its log, and another VM that helps."""
 
     def setUp(self):
         self.clock = clock_module.VirtualClock()
@@ -21,12 +21,12 @@
         timers = clock_module.VirtualTimers(self.clock, process)
         self.data = memory_log.LogData()
         self.direct = memory_log.MemoryLog(self.data, timers)
-        self.helped = memory_log.MemoryLog(self.data, timers)
+        self.helper_log = memory_log.MemoryLog(self.data, timers)
         member = peering.Member("h", "h/1", "z", ("", 1), ("", 2))
         self.changes = []
         self.log = peering.FailoverLog(
             self.direct,
-            lambda member: self.helped,
+            lambda member: self.helper_log,
             lambda: [member],
             timers,
             lambda: self.changes.append(self.log.is_direct),
@@ -34,37 +34,37 @@
 
     def append(self, place=PLACE):
         """Append a record; return its offset or the error."""
-        heard = []
-        self.log.append(place, [ENTRY], heard.append, heard.append)
-        self.clock.run_until(lambda: heard, 10)
-        return heard[0]
+        outcomes = []
+        self.log.append(place, [ENTRY], outcomes.append, outcomes.append)
+        self.clock.run_until(lambda: outcomes, 10)
+        return outcomes[0]
 
 
 class FailoverTest(FailoverCase):
-    """Direct, through others, and direct again."""
+    """The direct path, the path through a helper, and back."""
 
-    def test_direct_while_that_works(self):
+    def test_direct_path_while_it_works(self):
         self.assertEqual(0, self.append())
-        self.assertEqual([], self.helped.calls)
+        self.assertEqual([], self.helper_log.calls)
 
     def test_through_another_vm(self):
         self.direct.faults.down = True
         self.assertEqual(0, self.append())
-        self.assertEqual(["append"], self.helped.calls)
+        self.assertEqual(["append"], self.helper_log.calls)
 
-    def test_a_slow_log_is_not_out_of_reach(self):
-        for log in (self.direct, self.helped):
+    def test_slow_log_is_not_unreachable(self):
+        for log in (self.direct, self.helper_log):
             log.faults.latency = 0.4
         for _ in range(3):
             self.append()
             self.clock.run_for(1.0)
-        helped = len(self.helped.calls)
+        helper_calls = len(self.helper_log.calls)
         for _ in range(10):
             self.append()
         self.assertTrue(self.log.is_direct)
-        self.assertEqual(helped, len(self.helped.calls))
+        self.assertEqual(helper_calls, len(self.helper_log.calls))
 
-    def test_a_slow_log_that_falls_silent(self):
+    def test_slow_log_stops_responding(self):
         self.direct.faults.latency = 0.4
         for _ in range(3):
             self.append()
@@ -74,11 +74,11 @@
         self.append()
         self.assertLess(self.clock.now - began, 1.2)
 
-    def test_a_silent_way(self):
+    def test_silent_direct_path(self):
         self.direct.faults.silent = True
         self.assertEqual(0, self.append())
 
-    def test_the_way_is_tried_now_and_then_and_taken_again(self):
+    def test_lost_path_is_probed_and_used_again(self):
         self.direct.faults.down = True
         for _ in range(4):
             self.append()
@@ -90,28 +90,28 @@
         self.clock.run_for(0.1)
         self.assertEqual([False, True], self.changes)
 
-    def test_one_partition_does_not_spoil_the_others(self):
+    def test_unreachable_partition_does_not_affect_others(self):
         self.direct.faults.down_places.add(PLACE)
-        self.helped.faults.down_places.add(PLACE)
+        self.helper_log.faults.down_places.add(PLACE)
         self.assertIsInstance(self.append(), keyedlog.LogUnavailable)
-        helped = len(self.helped.calls)
+        helper_calls = len(self.helper_log.calls)
         self.append(OTHER)
         self.assertTrue(self.log.is_direct)
-        self.assertEqual(helped, len(self.helped.calls))
+        self.assertEqual(helper_calls, len(self.helper_log.calls))
 
-    def test_one_partition_that_is_silent_is_waited_for_once(self):
-        # By reading: each try of a way that is lost had the time-out of a
-        # slow log's, as the log took other calls; a turn waits for 0.6 s.
+    def test_silent_partition_delays_calls_briefly(self):
+        # Each probe of a silent partition got the longer hedge of a slow log,
+        # as the log answered other calls; a turn waits for 0.6 s.
         direct, append = self.direct, self.direct.append
         direct.append = lambda place, *rest: (
             place == PLACE or append(place, *rest)
         )
 
-        def go_on():
+        def append_again():
             self.log.append(OTHER, [ENTRY], lambda first: None, self.fail)
-            self.log.call_later(0.05, go_on)
+            self.log.call_later(0.05, append_again)
 
-        go_on()
+        append_again()
         self.append()
         seconds = []
         for _ in range(20):
@@ -121,60 +121,59 @@
             self.clock.run_for(0.1)
         self.assertLess(max(seconds), 0.6, seconds)
 
-    def test_a_partition_that_is_away_is_not_asked_for_everywhere(self):
-        # Found on campanario trouble-2: 72,725 calls, most of them failed.
+    def test_unreachable_partition_is_rarely_requested_from_helpers(self):
+        # One unreachable partition caused 72,725 calls, most of which failed.
         self.direct.faults.down_places.add(PLACE)
-        self.helped.faults.down_places.add(PLACE)
+        self.helper_log.faults.down_places.add(PLACE)
         for _ in range(10):
             self.append()
-        self.assertLessEqual(len(self.helped.calls), 2)
+        self.assertLessEqual(len(self.helper_log.calls), 2)
 
-    def test_while_the_log_is_down_calls_fail_at_once(self):
-        # Found on tallgrass-ops-grown trouble-3: each VM tried each of its
-        # partitions again and again, 111,000 calls in 29 s.
+    def test_calls_fail_fast_while_the_log_is_down(self):
+        # Each VM tried each of its partitions again and again: 111,000 calls
+        # in 29 s.
         self.direct.faults.down = True
-        self.helped.faults.down = True
+        self.helper_log.faults.down = True
         for number in range(200):
             place = keyedlog.LogPlace(keyedlog.Subject.PROGRAMS, number)
             self.assertIsInstance(self.append(place), keyedlog.LogUnavailable)
             self.clock.run_for(0.05)
-        # 10 s, two probes a second, and what went before the breaker
+        # 10 s with two probes a second, and the calls before the breaker
+        # opened.
         self.assertLess(len(self.direct.calls), 20 + 20)
         self.assertTrue(self.log.is_down)
 
-    def test_the_configuration_is_asked_for_all_the_same(self):
-        # Found on tallgrass-ops-grown trouble-3: the probes of a log that
-        # was back went to partitions, and an old configuration was in force
-        # 4 s later.
-        self.test_while_the_log_is_down_calls_fail_at_once()
+    def test_configuration_is_read_while_calls_fail_fast(self):
+        # The probes of a log that was back went to partitions, and an old
+        # configuration was in force 4 s later.
+        self.test_calls_fail_fast_while_the_log_is_down()
         self.direct.faults.down = False
-        heard = []
+        outcomes = []
         place = keyedlog.LogPlace(keyedlog.Subject.CONFIGURATION, 0)
         self.log.append(OTHER, [ENTRY], lambda offset: None, lambda error: 0)
-        self.log.read(place, 0, heard.append, heard.append)
-        self.clock.run_until(lambda: heard, 1)
-        self.assertIsInstance(heard[0], keyedlog.LogPage)
-
-    def test_a_silent_log_is_heard_soon_after_its_return(self):
-        # Found on tallgrass-ops-grown trouble-3, and it may explain
-        # campanario hunt-4c26-7: a read of the configuration that hung,
-        # first on the direct way and then at the VMs that helped.
+        self.log.read(place, 0, outcomes.append, outcomes.append)
+        self.clock.run_until(lambda: outcomes, 1)
+        self.assertIsInstance(outcomes[0], keyedlog.LogPage)
+
+    def test_return_of_a_silent_log_is_noticed_soon(self):
+        # A read of the configuration hung, first on the direct path and then
+        # at the VMs that helped.
         for step in range(12):
             with self.subTest(step):
                 self.setUp()
-                self.assertLess(self.seconds_until_heard(step * 0.2), 1.0)
+                self.assertLess(self.seconds_until_noticed(step * 0.2), 1.0)
 
-    def seconds_until_heard(self, outage):
-        """Return how long a reader does not notice that a log is back."""
-        for log in (self.direct, self.helped):
+    def seconds_until_noticed(self, outage):
+        """Return the time until a reader notices that the log is back."""
+        for log in (self.direct, self.helper_log):
             log.faults.silent = True
             log.faults.gives_up_after = 1.2
         place = keyedlog.LogPlace(keyedlog.Subject.CONFIGURATION, 0)
         timers = self.log._timers
-        heard = []
+        outcomes = []
 
         def answered(page):
-            heard.append(self.clock.now)
+            outcomes.append(self.clock.now)
 
         def read():
             self.log.read(place, 0, answered, failed)
@@ -185,32 +184,33 @@
         read()
         for number in range(3):
             other = keyedlog.LogPlace(keyedlog.Subject.PROGRAMS, number)
-            self.log.append(other, [ENTRY], heard.append, lambda error: None)
+            self.log.append(
+                other, [ENTRY], outcomes.append, lambda error: None
+            )
         self.clock.run_for(5.0 + outage)
-        for log in (self.direct, self.helped):
+        for log in (self.direct, self.helper_log):
             log.faults.silent = False
-        back = self.clock.now
-        self.clock.run_until(lambda: heard, 5)
-        return heard[0] - back
+        returned_at = self.clock.now
+        self.clock.run_until(lambda: outcomes, 5)
+        return outcomes[0] - returned_at
 
-    def test_a_busy_log_is_not_lost(self):
+    def test_busy_log_is_not_a_lost_path(self):
         self.append()
         self.direct.faults.busy = 5
         for _ in range(5):
             self.assertIsInstance(self.append(), keyedlog.LogBusy)
         self.assertTrue(self.log.is_direct)
-        self.assertEqual([], self.helped.calls)
+        self.assertEqual([], self.helper_log.calls)
 
-    def test_a_busy_log_is_not_away(self):
-        # Found in hunts, campanario mix --seed 175846626430 and tallgrass
-        # trouble-1 --seed 120443714255: one call too many made a VM spend
-        # on its own what others spent by the log (BUDGET).
+    def test_busy_log_is_not_down(self):
+        # A single refused call made a VM spend on its own account what others
+        # spent by the log: the program passed its budget.
         self.append()
         self.direct.faults.busy = 1
         self.assertIsInstance(self.append(), keyedlog.LogBusy)
         self.assertFalse(self.log.is_down)
 
-    def test_a_vm_that_is_turned_away_and_helped_goes_on(self):
+    def test_refused_vm_continues_through_a_helper(self):
         self.append()
         self.clock.run_for(2.0)
         self.direct.faults.busy = 99
@@ -219,16 +219,16 @@
             self.clock.run_for(0.1)
         self.assertFalse(self.log.is_down)
 
-    def test_a_vm_whose_calls_are_all_too_many_is_helped(self):
-        # The store may turn one VM away with the same answer.
+    def test_helper_is_used_if_all_calls_are_refused(self):
+        # The store may refuse a single VM with the same status.
         self.append()
         self.clock.run_for(2.0)
         self.direct.faults.busy = 99
         self.assertEqual(1, self.append())
-        self.assertEqual(["append"], self.helped.calls)
+        self.assertEqual(["append"], self.helper_log.calls)
 
-    def test_after_it_was_down_others_are_told(self):
-        self.test_while_the_log_is_down_calls_fail_at_once()
+    def test_return_of_the_log_is_reported(self):
+        self.test_calls_fail_fast_while_the_log_is_down()
         self.changes.clear()
         self.direct.faults.down = False
         self.clock.run_for(1.0)
@@ -239,22 +239,22 @@
             1, self.append(keyedlog.LogPlace(PLACE.subject, 999)) + 1
         )
 
-    def test_expired_records_are_not_a_lost_way(self):
+    def test_expired_records_are_not_a_lost_path(self):
         self.append()
         self.data.expire(PLACE)
-        heard = []
-        self.log.read(PLACE, 0, heard.append, heard.append)
-        self.clock.run_until(lambda: heard, 5)
-        self.assertIsInstance(heard[0], keyedlog.LogExpired)
+        outcomes = []
+        self.log.read(PLACE, 0, outcomes.append, outcomes.append)
+        self.clock.run_until(lambda: outcomes, 5)
+        self.assertIsInstance(outcomes[0], keyedlog.LogExpired)
         self.assertTrue(self.log.is_direct)
 
 
 class ManyHelpersTest(unittest.TestCase):
-    """A VM of many is turned away by the log, and so is a third of them.
+    """The log is unreachable for one VM of many and a third of the others.
 
-    Found on the large deployment's trouble-1, the first 11.5 s: 78 turns
-    refused with journal_unavailable and 145 with budget_reserved, as calls
-    failed although two thirds of the VMs reached the log.
+    Guards against failed calls although two thirds of the VMs reached the log:
+    in 11.5 s, 78 turns were refused with journal_unavailable and 145 with
+    budget_reserved.
     """
 
     def setUp(self):
@@ -278,40 +278,40 @@
             timers,
         )
 
-    def turn_away(self, *names):
-        """Let the log turn this VM and some others away."""
+    def take_down(self, *names):
+        """Make the log unreachable for this VM and some others."""
         self.direct.faults.down = True
         for name in names:
             self.log_by_name[name].faults.down = True
 
     def begin(self, partition):
-        """Begin an append; return where its end will stand."""
-        heard = []
+        """Begin an append; return the list that its outcome is added to."""
+        outcomes = []
         place = keyedlog.LogPlace(keyedlog.Subject.PROGRAMS, partition)
-        self.log.append(place, [ENTRY], heard.append, heard.append)
-        return heard
+        self.log.append(place, [ENTRY], outcomes.append, outcomes.append)
+        return outcomes
 
     def append(self, partition):
-        """Append a record; return its end and the seconds until then."""
+        """Append a record; return its outcome and the seconds until then."""
         began = self.clock.now
-        heard = self.begin(partition)
-        self.clock.run_until(lambda: heard, 10)
-        return heard[0], self.clock.now - began
+        outcomes = self.begin(partition)
+        self.clock.run_until(lambda: outcomes, 10)
+        return outcomes[0], self.clock.now - began
 
-    def test_several_others_are_turned_away_as_well(self):
-        self.turn_away("h0", "h1", "h2")
+    def test_several_helpers_without_the_log(self):
+        self.take_down("h0", "h1", "h2")
         for partition in range(6):
             self.assertEqual(0, self.append(partition)[0])
 
-    def test_who_helped_is_asked_first(self):
-        self.turn_away("h0", "h1", "h2")
+    def test_last_helper_is_asked_first(self):
+        self.take_down("h0", "h1", "h2")
         for partition in range(6):
             self.append(partition)
         self.assertEqual(6, len(self.log_by_name["h3"].calls))
         self.assertEqual(1, len(self.log_by_name["h0"].calls))
 
-    def test_a_rest_is_not_taken_for_an_outage(self):
-        self.turn_away("h0")
+    def test_idle_period_is_no_outage(self):
+        self.take_down("h0")
         for partition in range(4):
             self.append(partition)
         self.assertFalse(self.log.is_direct)
@@ -321,11 +321,12 @@
             self.clock.run_until(lambda ends=ends: all(ends), 10)
             self.assertEqual([[0]] * 5, ends)
 
-    def test_with_the_log_away_for_all_few_are_asked(self):
-        self.turn_away(*self.log_by_name)
+    def test_few_helpers_are_asked_during_an_outage(self):
+        self.take_down(*self.log_by_name)
         for partition in range(100):
             self.append(partition)
             self.clock.run_for(0.05)
         asked = sum(len(log.calls) for log in self.log_by_name.values())
-        # 5 s: two calls that ask eight, then two probes a second of one
+        # 5 s: two calls that ask eight VMs, then two probes a second of one
+        # VM.
         self.assertLess(asked, 3 * 8 + 5 * 2 + 3)
--- a/postspring/peering/tests/test_late_answers.py
+++ b/postspring/peering/tests/test_late_answers.py
@@ -1,10 +1,10 @@
-"""What a VM that stood still may conclude from what it finds then.
+"""What a VM may conclude from a response that it reads after a pause.
 
-Seen by reading: the other VMs promise for 0.5 s to stay back from a program,
-and the answers may be read later than that, when the loop was not turned
-meanwhile; another VM may go on by then.  A VM also took members for expired
-by its own clock, though it had not read the list for as long.
-Cause: the age of what was heard was not looked at.  Proof: these tests.
+Another VM's lease on a program lasts for 0.5 s, but a paused process may read
+the response later; a third VM may run the program offline by then.  A paused
+VM also must not expire members by its own clock, as it has not read the list
+for as long.  Both went wrong when the age of what had been read was not
+checked.
 """
 
 import types
@@ -23,22 +23,22 @@
     return peering.Member(name, f"{name}/1", "z", ("h", 1), ("h", 2))
 
 
-class Http:
-    """Keeps the questions."""
+class PeerHttp:
+    """Stores the requests' collectors."""
 
     def __init__(self):
         self.collectors = []
 
     def send(self, request, collector):
-        """Keep who waits for the answer."""
+        """Store the collector of the response."""
         self.collectors.append(collector)
 
 
-class LatePromiseTest(unittest.TestCase):
-    """Answers that are older than the promises in them."""
+class ExpiredLeaseTest(unittest.TestCase):
+    """Responses that are older than the leases they grant."""
 
     def finding_after(self, seconds):
-        """Return what is found if the answer is read so late."""
+        """Return the finding when the response is read after ``seconds``."""
         clock = clock_module.VirtualClock()
         timers = clock_module.VirtualTimers(
             clock, clock_module.VirtualProcess("a")
@@ -50,7 +50,7 @@
             is_announced=True,
             own_entry=b"",
         )
-        http = Http()
+        http = PeerHttp()
         client = peering.PeerClient(
             http,
             members,
@@ -72,19 +72,19 @@
         collector.end()
         return found[0]
 
-    def test_one_in_time_lets_a_program_begin(self):
+    def test_timely_response_counts(self):
         self.assertTrue(self.finding_after(0.1).is_answered)
 
-    def test_one_that_is_read_late_does_not(self):
+    def test_response_after_the_lease_does_not_count(self):
         self.assertFalse(self.finding_after(0.6).is_answered)
 
 
-class LateListTest(test_members.MembersCase):
-    """A VM that stood still has not read the list."""
+class PausedVmTest(test_members.MembersCase):
+    """A paused VM has not read the list."""
 
-    def test_nobody_expires_by_that(self):
-        own = self.members("one")
-        self.members("two")
+    def test_no_member_expires_by_a_pause(self):
+        own = self.start_members("one")
+        self.start_members("two")
         self.clock.run_for(6.0)
         process = own._timers._process
         process.freeze()
--- a/postspring/peering/tests/test_lost_answers.py
+++ b/postspring/peering/tests/test_lost_answers.py
@@ -1,12 +1,12 @@
-"""Answers of the log are lost, or the way to it is lost.
+"""Responses of the log get lost, or the direct path to it is lost.
 
-Seen: simulated with a log that did not answer four in ten appends, VMs took
-their direct way for lost and regained it up to ten times a second, turned
-away those that they were to help, and appended nothing for two seconds; a VM
-whose way was lost waited 0.3 s for it with each partition anew.  Cause: three
-calls without an answer in a row counted, though others had been answered
-since; and each partition tried the lost way.  Proof: lines ``direct way
-lost`` and ``direct way back`` some ms apart, and the calls traced here.
+Guards against two faults of a fleet whose log did not respond to four in ten
+appends.  VMs took their direct path for lost and found it restored up to ten
+times a second, some ms apart in their log lines; they refused the VMs that
+they should have helped, and appended nothing for two seconds.  And a VM whose
+path was lost waited 0.3 s for it with each partition anew.  The reasons: three
+calls in a row without a response counted as a loss although others had been
+answered since, and each partition probed the lost path.
 """
 
 from postspring import keyedlog
@@ -21,10 +21,10 @@
 
 
 class LostAnswersTest(test_failover.FailoverCase):
-    """Calls of which some are answered."""
+    """Only some calls are answered."""
 
-    def test_a_way_that_takes_other_calls_is_not_lost(self):
-        # What others do keeps the way in use: reads are answered.
+    def test_path_that_answers_other_calls_is_not_lost(self):
+        # Reads that are answered show that the path works.
         for number in range(PARTITIONS):
             self.direct.faults.lose_answers = 1
             done = []
@@ -39,7 +39,7 @@
         self.clock.run_for(2.0)
         self.assertEqual([], self.changes)
 
-    def test_a_lost_way_is_tried_once_for_all_partitions(self):
+    def test_lost_path_is_probed_once_for_all_partitions(self):
         self.direct.faults.silent = True
         for number in range(3):
             self.append(place(number))
@@ -54,7 +54,7 @@
         self.assertLessEqual(len(self.direct.calls) - before, 1)
         self.assertLess(sorted(waits)[PARTITIONS // 2], 0.1)
 
-    def test_what_has_a_bound_tries_it_itself(self):
+    def test_bounded_reads_probe_the_path_themselves(self):
         self.direct.faults.silent = True
         for number in range(3):
             self.append(place(number))
--- a/postspring/peering/tests/test_members.py
+++ b/postspring/peering/tests/test_members.py
@@ -10,14 +10,14 @@
 
 
 class MembersCase(unittest.TestCase):
-    """VMs on one log."""
+    """VMs that share one log."""
 
     def setUp(self):
         self.clock = clock_module.VirtualClock()
         self.data = memory_log.LogData()
 
-    def members(self, name, down=False):
-        """Return a VM's list, started."""
+    def start_members(self, name, down=False):
+        """Start and return a VM's list."""
         process = clock_module.VirtualProcess(name)
         timers = clock_module.VirtualTimers(self.clock, process)
         log = memory_log.MemoryLog(self.data, timers)
@@ -28,26 +28,26 @@
         return members
 
 
-class SharersTest(MembersCase):
-    """Among how many VMs the log's rate is shared.
+class SharedRateTest(MembersCase):
+    """Number of VMs among which the log's rate is shared.
 
-    Found by reading: a VM that started before a log that refused every call
-    knew no other VM, and so took half of the log's rate for its own share.
-    64 that start at once would catch up with 32 times the whole rate.
+    Guards against a VM that starts while the log refuses every call, and takes
+    itself for one of few VMs: it would use half of the log's rate, and 64 such
+    VMs 32 times the whole rate.
     """
 
-    def test_those_of_the_list(self):
-        lists = [self.members(f"vm{number}") for number in range(5)]
+    def test_listed_vms_are_counted(self):
+        lists = [self.start_members(f"vm{number}") for number in range(5)]
         self.clock.run_for(6.0)
         self.assertEqual([5] * 5, [members.sharers for members in lists])
 
-    def test_many_while_the_list_was_never_read(self):
-        members = self.members("vm", down=True)
+    def test_many_vms_are_assumed_before_the_first_read(self):
+        members = self.start_members("vm", down=True)
         self.clock.run_for(6.0)
         self.assertGreaterEqual(members.sharers, 64)
 
-    def test_the_list_is_known_while_the_log_is_away(self):
-        lists = [self.members(f"vm{number}") for number in range(5)]
+    def test_count_is_kept_during_an_outage(self):
+        lists = [self.start_members(f"vm{number}") for number in range(5)]
         self.clock.run_for(6.0)
         lists[0]._log.faults.down = True
         self.clock.run_for(6.0)
@@ -55,12 +55,12 @@
 
 
 class AbsentTest(MembersCase):
-    """A VM that falls silent, and is not heard of again."""
+    """A VM stops renewing its entry."""
 
     def setUp(self):
         super().setUp()
-        self.one = self.members("one")
-        self.two = self.members("two")
+        self.one = self.start_members("one")
+        self.two = self.start_members("two")
         self.clock.run_for(6.0)
         self.two._log.faults.silent = True
 
@@ -68,14 +68,15 @@
         """Return the names of some VMs."""
         return [member.name for member in members]
 
-    def test_it_is_absent_when_its_entry_has_expired(self):
+    def test_absent_after_expiry(self):
         self.assertEqual([], self.one.absent)
         self.clock.run_for(20.0)
         self.assertEqual([], self.names(self.one.others))
         self.assertEqual(["two"], self.names(self.one.absent))
 
-    def test_it_expires_while_calls_fail_now_and_then(self):
-        # Each one was taken for an outage, in which nobody renews an entry.
+    def test_expires_despite_occasional_failures(self):
+        # A single failed call is no outage, during which no VM could renew its
+        # entry.
         log = self.one._log
         read = log.read
         refused = itertools.cycle((True, False))
@@ -88,7 +89,7 @@
         self.clock.run_for(40.0)
         self.assertEqual([], self.names(self.one.listed))
 
-    def test_it_is_listed_through_an_outage(self):
+    def test_listed_during_an_outage(self):
         self.two._log.faults.silent = False
         for members in (self.one, self.two):
             members._log.faults.down = True
@@ -99,22 +100,22 @@
             self.clock.run_for(0.5)
             self.assertEqual(["two"], self.names(self.one.listed))
 
-    def test_it_is_listed_again_when_it_comes_back(self):
+    def test_listed_again_after_its_return(self):
         self.clock.run_for(20.0)
         self.two._log.faults.silent = False
         self.clock.run_for(12.0)
         self.assertEqual(["two"], self.names(self.one.others))
         self.assertEqual([], self.one.absent)
 
-    def test_its_entry_is_dropped_after_very_long(self):
+    def test_dropped_after_a_long_absence(self):
         self.clock.run_for(members_module.ABSENCE_SECONDS + 30.0)
         self.assertEqual([], self.one.absent)
-        late = self.members("late")
+        late = self.start_members("late")
         self.clock.run_for(6.0)
         self.assertEqual(["one"], self.names(late.others))
 
-    def test_a_vm_that_starts_counts_it_anew(self):
+    def test_new_vm_counts_the_absence_from_its_start(self):
         self.clock.run_for(20.0)
-        late = self.members("late")
+        late = self.start_members("late")
         self.clock.run_for(20.0)
         self.assertEqual(["two"], self.names(late.absent))
--- a/postspring/peering/tests/test_messages.py
+++ b/postspring/peering/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between VMs come from outside: any bytes are survived."""
+"""Messages between VMs come from outside: any bytes must be handled."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class DecodeTest(unittest.TestCase):
-    """Decoders raise their own error, or give a message."""
+    """Decoders return a message or raise their own error."""
 
     @hypothesis.given(strategies.binary(max_size=100))
     def test_any_bytes(self, data):
@@ -30,8 +30,8 @@
             except errors.PeerError:
                 pass
 
-    def test_a_field_of_another_type(self):
-        # Ended in a 500 and a traceback in the log.
+    def test_field_of_the_wrong_type(self):
+        # Such a message once led to status 500 and a traceback in the log.
         wrong = (
             (messages.KeepRequest, [["text"]]),
             (messages.FindRequest, ["vm", "p", None, "8"]),
--- a/postspring/peering/tests/test_partial_power_loss.py
+++ b/postspring/peering/tests/test_partial_power_loss.py
@@ -1,14 +1,13 @@
-"""Some VMs lack the log, others' answers are lost, and all lose power.
-
-Seen: simulated with a log that a third of the VMs did not reach while four in
-ten appends of the others were not answered, until all lost power, turns that
-callers had whole reached no upstream afterwards.  How it came about: some had
-ended as kept by VMs only, 0.1 to 0.7 s before the loss of power; others stood
-in the log, but the turn that they go on from had ended as kept by VMs and did
-not.  Cause: VMs kept copies without a word of whether they reach the log, so
-that authors ended turns though others could have recorded them; and a record
-was taken for enough though the chain before it was not recorded.  Proof: the
-runs' log lines (``kept``), and the test here.
+"""Some VMs lack the log, others lose responses, then all lose power.
+
+Guards against the loss of turns that callers had received in full, as in a
+simulation in which a third of the VMs did not reach the log and four in ten
+appends of the others were not answered.  Some turns ended with copies at VMs
+only, 0.1 to 0.7 s before the loss of power (``kept`` in the log lines); others
+were in the log, but the turns that they continue were not.  The reasons: VMs
+that kept copies did not report whether they reach the log, so that authors
+ended turns which others could have recorded; and a record in the log counted
+as enough although the chain before it was not recorded.
 """
 
 import dataclasses
@@ -19,26 +18,27 @@
 from postspring.testing.fleet import journal_fleet
 
 VMS = 11
-# A third lacks the log; of the others' appends four in ten are not answered.
+# A third of the VMs lacks the log; of the others' appends this share is not
+# answered.
 WITHOUT_LOG = 4
 LOST_SHARE = 0.4
 PROGRAMS = 24
 RUN_SECONDS = 0.25
 PAUSE_SECONDS = 0.1
-# The next turn comes through another VM so often.
-MOVES_SHARE = 0.3
+# Share of turns that a caller sends through another VM than the last one.
+MOVE_SHARE = 0.3
 FIND_SECONDS = 0.6
 FAULT_SECONDS = 6.0
 TICK_SECONDS = 0.1
-# Callers accept a pause of this many seconds between events.
+# Seconds between events of a stream that callers accept.
 PAUSE_LIMIT = 0.4
-# Callers leave a stream from which nothing has come for this many seconds.
+# Seconds without any event after which callers close a stream.
 SILENCE_SECONDS = 2.0
 
 
 @dataclasses.dataclass
-class Ended:
-    """A turn whose caller has it whole."""
+class EndedTurn:
+    """A turn that its caller has received in full."""
 
     ref: histories.TurnRef
     parent: histories.TurnRef | None
@@ -47,32 +47,32 @@
 
 
 class Program:
-    """One caller's chain of turns, each sent when the one before is whole."""
+    """A caller's chain of turns, each sent when the previous one has ended."""
 
     def __init__(self, fleet, name, ended):
         self._fleet = fleet
         self._name = name
         self._ended = ended
         self._vm = fleet.random.choice(fleet.vms)
-        self._head = None
+        self._last_turn = None
         self._count = 0
 
-    def go_on(self):
+    def send_next(self):
         """Send the next turn, through the same VM or another one."""
         vm = self._vm
-        if self._fleet.random.random() < MOVES_SHARE:
+        if self._fleet.random.random() < MOVE_SHARE:
             vm = self._fleet.random.choice(self._fleet.vms)
-        if self._head is None:
+        if self._last_turn is None:
             self._run(vm)
             return
 
         def found(chain):
-            # A VM that has not got the chain passes the turn on.
+            # A VM without the chain forwards the turn.
             self._run(vm if chain is not None else self._vm)
 
         vm.journal.find_chain(
             self._name,
-            self._head.turn,
+            self._last_turn.turn,
             FIND_SECONDS,
             found,
             lambda error: self._run(self._vm),
@@ -84,26 +84,26 @@
 
     def _complete(self):
         self._count += 1
-        parent = self._head
+        parent = self._last_turn
         turn = f"{self._name}-{self._count}"
         ticket = histories.Ticket(
             self._name, turn, 10, None, histories.Origin.RESERVE
         )
         began = self._fleet.clock.now
 
-        def whole(how):
-            self._head = histories.TurnRef(self._name, turn)
+        def completed(how):
+            self._last_turn = histories.TurnRef(self._name, turn)
             waited = self._fleet.clock.now - began
-            self._ended.append(Ended(self._head, parent, how, waited))
-            self._vm.timers.call_later(PAUSE_SECONDS, self.go_on)
+            self._ended.append(EndedTurn(self._last_turn, parent, how, waited))
+            self._vm.timers.call_later(PAUSE_SECONDS, self.send_next)
 
         self._vm.journal.complete_turn(
-            ticket, parent, 4, b"<", b">", "engine", whole
+            ticket, parent, 4, b"<", b">", "engine", completed
         )
 
 
 class PartialPowerLossCase(unittest.TestCase):
-    """Programs run on all VMs; which turns would a loss of power take?"""
+    """Programs run on all VMs; a loss of power would take some turns."""
 
     seed = 0
 
@@ -114,11 +114,11 @@
         self.ended = []
         for number in range(PROGRAMS):
             program = Program(self.fleet, f"p{number}", self.ended)
-            self.fleet.clock.call_later(number / PROGRAMS, program.go_on)
+            self.fleet.clock.call_later(number / PROGRAMS, program.send_next)
         self.fleet.clock.run_for(3.0)
 
-    def lose(self):
-        """Return the turns that can't be gone on from without the VMs."""
+    def lost_turns(self):
+        """Return the turns that can't be continued from the log alone."""
         recorded = self.fleet.recorded()
         parent_by_ref = {turn.ref: turn.parent for turn in self.ended}
         found = []
@@ -131,11 +131,11 @@
         return found
 
     def lost_over_time(self, seconds):
-        """Return what a loss of power at each tenth of a second takes."""
+        """Return the turns that a loss of power at any tick would take."""
         found = {}
         for _ in range(round(seconds / TICK_SECONDS)):
             self.fleet.clock.run_for(TICK_SECONDS)
-            for turn in self.lose():
+            for turn in self.lost_turns():
                 found[turn.ref] = turn
         return list(found.values())
 
@@ -143,10 +143,10 @@
 class CutPowerLossTest(PartialPowerLossCase):
     """A data centre is cut off; its VMs reach neither the log nor others.
 
-    Seen: simulated with 65 VMs, a data centre was cut off and all lost power
-    1.05 s later; three turns that had ended behind the cut as kept by its VMs
-    reached no upstream afterwards.  Most interruptions are shorter than what
-    callers wait at the end of a turn, so at first ends wait.
+    Guards against the loss of turns when all VMs lose power 1.05 s after the
+    cut: in a simulation with 65 VMs, three turns had ended behind the cut with
+    copies at its VMs only.  Most interruptions are shorter than callers wait
+    at the end of a turn, so ends of turns wait at first.
     """
 
     def start_cut(self, seed):
@@ -154,13 +154,13 @@
         self.start(seed)
         self.fleet.cut_off("z0")
 
-    def test_no_turn_of_its_first_second_is_lost(self):
+    def test_no_loss_within_the_first_second(self):
         for seed in range(4):
             with self.subTest(seed=seed):
                 self.start_cut(seed)
                 self.assertEqual([], self.lost_over_time(1.0))
 
-    def test_turns_go_on_behind_a_longer_one(self):
+    def test_turns_continue_during_a_longer_cut(self):
         self.start_cut(0)
         self.fleet.clock.run_for(2.5)
         before = len(self.ended)
@@ -169,21 +169,21 @@
         self.assertGreater(len(held), PROGRAMS / 3)
         self.assertLess(max(turn.waited for turn in held), PAUSE_LIMIT)
 
-    def test_a_second_after_its_end_none_is_lost(self):
+    def test_no_loss_one_second_after_the_cut(self):
         for seed in range(4):
             with self.subTest(seed=seed):
                 self.start_cut(seed)
                 self.fleet.clock.run_for(3.0)
                 self.fleet.heal()
                 self.fleet.clock.run_for(1.0)
-                self.assertEqual([], self.lose())
+                self.assertEqual([], self.lost_turns())
 
 
 class PartialPowerLossTest(PartialPowerLossCase):
-    """While any VM reaches the log, what a caller has stands in it."""
+    """While any VM reaches the log, it has what callers have received."""
 
     def check(self, seed):
-        """Play one seed; return the turns that ended during the faults."""
+        """Run one seed; return the turns that ended during the faults."""
         self.start(seed)
         before = len(self.ended)
         for vm in self.fleet.vms[:WITHOUT_LOG]:
--- a/postspring/peering/tests/test_search.py
+++ b/postspring/peering/tests/test_search.py
@@ -1,4 +1,4 @@
-"""Whom a VM asks about a program."""
+"""Which VMs a search asks, and when it ends."""
 
 import unittest
 
@@ -8,13 +8,13 @@
 from postspring.peering import search
 
 
-def member(name, place):
+def member(name, data_center):
     """Return a VM."""
-    return peering.Member(name, f"{name}/1", place, ("", 1), ("", 2))
+    return peering.Member(name, f"{name}/1", data_center, ("", 1), ("", 2))
 
 
 class SearchTest(unittest.TestCase):
-    """Two VMs near, two far."""
+    """Two VMs in this data centre, two in another one."""
 
     def setUp(self):
         self.near = [member("a", "z1"), member("b", "z1")]
@@ -30,16 +30,16 @@
         self.search.start()
 
     def ask(self, vms):
-        """Take note of who is asked."""
+        """Note the VMs that are asked."""
         self.asked += vms
         return True
 
     def answer(self, vm, can_take=False):
-        """Let a VM answer."""
+        """Let a VM respond."""
         found = messages.Found(can_take, can_take, can_take, True)
         self.search.answered(vm, found)
 
-    def test_a_near_vm_that_takes_it_saves_asking_the_others(self):
+    def test_taker_nearby_ends_the_search(self):
         self.answer(self.near[0], can_take=True)
         self.answer(self.near[1])
         self.assertEqual(self.near, self.asked)
@@ -48,7 +48,7 @@
         self.assertEqual("a", finding.taker.id)
         self.assertIn(forwarding.Doubt.VM_UNHEARD, finding.doubts)
 
-    def test_all_are_asked_if_no_near_one_takes_it(self):
+    def test_all_are_asked_without_a_taker_nearby(self):
         for vm in self.near:
             self.answer(vm)
         self.assertEqual(self.near + self.far, self.asked)
@@ -59,7 +59,7 @@
         self.assertEqual(1, len(self.done))
         self.assertIn(forwarding.Doubt.VM_UNHEARD, finding.doubts)
 
-    def test_one_that_may_not_be_asked_has_no_answer(self):
+    def test_refused_query_is_not_answered(self):
         done = []
         refused = search.Search(
             self.near, [self.near], lambda vms: False, done.append
@@ -71,7 +71,7 @@
         self.assertFalse(finding.is_answered)
         self.assertIn(forwarding.Doubt.VM_UNHEARD, finding.doubts)
 
-    def test_nor_if_some_were_asked_before(self):
+    def test_query_refused_at_the_second_stage(self):
         stages = [self.near, self.far]
         refused = search.Search(
             self.near + self.far,
@@ -86,8 +86,8 @@
         self.assertFalse(finding.is_answered)
         self.assertFalse(finding.is_certain)
 
-    def test_nobody_is_there(self):
+    def test_no_other_vms(self):
         done = []
-        nobody = search.Search([], [[], []], None, done.append)
-        nobody.start()
-        self.assertEqual([nobody], done)
+        empty = search.Search([], [[], []], None, done.append)
+        empty.start()
+        self.assertEqual([empty], done)
