--- a/postspring/peering/__init__.py
+++ b/postspring/peering/__init__.py
@@ -1,16 +1,15 @@
 """Peering: the messages that entry VMs exchange, and what they serve.
 
 VMs send each other CBOR over HTTP, on connections that are opened on demand: a
-VM sends no heartbeats to other VMs and keeps no permanent links to them,
-however many there are.  The HTTP client and server exist anyway for callers
-and upstreams; websockets with their own message types would cost each VM
-another 12 MB of memory.
+VM sends no heartbeats to other VMs and has no permanent links to them, however
+many there are.  The HTTP client and server exist anyway for callers and
+upstreams; websockets with their own message types would cost each VM another
+12 MB of memory.
 
 While a VM can't reach the log, it calls the log through another VM
-(:class:`FailoverLog`), stores copies of its records at other VMs, or runs a
+(:class:`FailoverLog`), stores replicas of its records at other VMs, or runs a
 program *offline*: it charges the program's turns to an account of its own and
-records them when the log is back.  The code of the accounts calls the VM at
-which a program runs offline its home.
+records them when the log is back.
 """
 
 from postspring.peering.failover import FailoverLog
--- a/postspring/peering/holders.py
+++ b/postspring/peering/holders.py
@@ -1,4 +1,4 @@
-"""Other VMs that keep copies of this VM's records, or append them."""
+"""Other VMs that store replicas of this VM's records, or append them."""
 
 from collections.abc import Callable
 
@@ -16,12 +16,12 @@
 KEEP_TIMEOUT_SECONDS = 0.25
 # No caller waits for the records that a VM hands over when it shuts down.
 HAND_OVER_TIMEOUT_SECONDS = 1.0
-# A VM that failed to keep a record is asked last for this long.
+# A VM that failed to store a replica is asked last for this long.
 AVOID_SECONDS = 1.0
 
 
 class Holders(histories.ReplicaHolders):
-    """The other VMs as holders of records that this VM can't append.
+    """The other VMs as holders of replicas.
 
     Parameters
     ==========
@@ -31,7 +31,7 @@
     members : Members
         The list of VMs.
     unresponsive : AvoidedVms
-        VMs that did not respond to a request of any kind a moment ago.
+        VMs that did not respond to a query a moment ago.
     timers : Timers
         Time, and delays of requests.
     """
@@ -58,10 +58,10 @@
         on_done: Callable[[int], None],
         is_log_away: bool = False,
     ) -> None:
-        """Send a copy to the nearest VM and to some of other data centres."""
+        """Send a replica to the nearest VM and to some elsewhere."""
         holders = self._replica_holders()
-        # A VM that finds copies of a turn asks the turn's author about it, and
-        # can do so only if the author is on its list of VMs.
+        # A VM that finds replicas of a turn asks the turn's author about it,
+        # and can do so only if the author is on its list of VMs.
         if not holders or not self._members.is_announced:
             on_done(0)
             return
@@ -77,7 +77,7 @@
             first + rest,
             False,
             self._recorder.with_log.note,
-            self._copy_failed,
+            self._replication_failed,
             on_done,
         ).send([record], KEEP_TIMEOUT_SECONDS, is_log_away)
 
@@ -105,14 +105,14 @@
             for member in self._replica_holders()
             if member.incarnation not in self._stopping
         ]
-        enough = max(1, min(replicas.TARGET_COPIES, len(holders)))
+        enough = max(1, min(replicas.TARGET_REPLICAS, len(holders)))
         replicas.ReplicationCall(
             self._http,
             holders,
             True,
             self._recorder.with_log.note,
-            self._copy_failed,
-            lambda copies: on_done(copies >= enough),
+            self._replication_failed,
+            lambda replicas_stored: on_done(replicas_stored >= enough),
         ).send(records, HAND_OVER_TIMEOUT_SECONDS)
 
     # -- own ------------------------------------------------------------------
@@ -123,7 +123,7 @@
             self._members.others, here, self._is_unlikely_holder
         )
 
-    def _copy_failed(
+    def _replication_failed(
         self, member: members_module.Member, is_stopping: bool
     ) -> None:
         if is_stopping:
@@ -131,5 +131,5 @@
         self._refusing.add(member)
 
     def _is_unlikely_holder(self, member: members_module.Member) -> bool:
-        """Return whether a VM has failed to keep a record a moment ago."""
+        """Return whether a request to a VM has failed a moment ago."""
         return member in self._refusing or member in self._unresponsive
--- a/postspring/peering/messages.py
+++ b/postspring/peering/messages.py
@@ -33,17 +33,17 @@
 LOADS_PATH = "/peer/loads"
 PERMIT_PATH = "/peer/permit"
 RECORD_PATH = "/peer/record"
-# Response of a VM that is shutting down to a request to keep copies.
+# Response of a VM that is shutting down to a request to store replicas.
 STOPPING_STATUS = 503
 # Response of a VM that is shutting down, or can't reach the log, to a request
 # to record turns.
 LOG_UNREACHABLE_STATUS = 503
-# Path prefix of calls that a VM forwards to the platform's store.
+# Path prefix of calls to the platform's store that a VM relays.
 STORE_PREFIX = "/peer/store"
 
 
 class KeepRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Request to keep copies of records until the log has them.
+    """Request to store replicas of records until the log has them.
 
     Parameters
     ==========
--- a/postspring/peering/recorders.py
+++ b/postspring/peering/recorders.py
@@ -21,9 +21,9 @@
 RECORD_HEDGE_SECONDS = 0.15
 # Most VMs that may append the same turns.
 MAX_RECORDERS = 3
-# Reports come with the responses to requests to keep copies, and the wait for
-# these ends with the second one.  Without any report, those that arrive within
-# this time are waited for; VMs respond in some ms.
+# Reports come with the responses to requests to store replicas, and the wait
+# for these ends with the second one.  Without any report, those that arrive
+# within this time are waited for; VMs respond in some ms.
 LATE_REPORT_SECONDS = 0.03
 # Time without further waits after one that ended without a report: when the
 # log is unreachable for all VMs, each turn would end that much later.
--- a/postspring/peering/replicas.py
+++ b/postspring/peering/replicas.py
@@ -1,4 +1,4 @@
-"""Requests to keep copies of records: how many VMs, and in which order."""
+"""Requests to store replicas of records, and the order of the VMs."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -11,15 +11,15 @@
 __all__ = [
     "PARALLEL_REQUESTS",
     "ReplicationCall",
-    "TARGET_COPIES",
+    "TARGET_REPLICAS",
     "holder_order",
 ]
 
-# VMs that are asked to keep a record in parallel, and number of copies that
-# ends the wait for more.  VMs are killed one after the other, also while the
-# log is unreachable, so one copy is not enough.
+# VMs that are asked to store a replica in parallel, and number of replicas
+# that ends the wait for more.  VMs are killed one after the other, also while
+# the log is unreachable, so one replica is not enough.
 PARALLEL_REQUESTS = 4
-TARGET_COPIES = 2
+TARGET_REPLICAS = 2
 
 
 def holder_order(
@@ -42,14 +42,14 @@
 
 
 class ReplicationCall:
-    """Asks VMs to keep records, and replaces those that don't.
+    """Asks VMs to store replicas, and others in place of those that don't.
 
     Explanation
     ===========
 
     A VM that refuses is shutting down, and the next one is asked at once.  A
-    VM that does not respond is replaced only while there is no copy: in a cut
-    no VM elsewhere responds, and callers wait.
+    VM that does not respond is replaced only while there is no replica: in a
+    cut no VM elsewhere responds, and callers wait.
 
     Parameters
     ==========
@@ -58,16 +58,16 @@
         VMs to ask, first to last.
     is_exhaustive : bool
         No caller waits: VMs that don't respond are always replaced, until
-        there are enough copies or all VMs have been asked.
-    on_kept : callable
-        Called with each VM that keeps the records, and whether it reaches the
+        there are enough replicas or all VMs have been asked.
+    on_stored : callable
+        Called with each VM that stores the records, and whether it reaches the
         log.
     on_failed : callable
-        Called with each VM that did not keep the records, and whether that is
+        Called with each VM that did not store the records, and whether that is
         because it is shutting down.
     on_done : callable
-        Called once with the number of copies, when there are enough or no more
-        can come.
+        Called once with the number of replicas, when there are enough or no
+        more can come.
     """
 
     def __init__(
@@ -75,18 +75,18 @@
         http: transport.HttpClient,
         holders: list[members_module.Member],
         is_exhaustive: bool,
-        on_kept: Callable[[members_module.Member, bool], None],
+        on_stored: Callable[[members_module.Member, bool], None],
         on_failed: Callable[[members_module.Member, bool], None],
         on_done: Callable[[int], None],
     ):
         self._http = http
         self._remaining = list(holders)
         self._is_exhaustive = is_exhaustive
-        self._on_kept = on_kept
+        self._on_stored = on_stored
         self._on_failed = on_failed
         self._on_done: Callable[[int], None] | None = on_done
         self._pending = 0
-        self._kept = 0
+        self._stored = 0
 
     def send(
         self, records: list[bytes], seconds: float, is_log_away: bool = False
@@ -108,8 +108,8 @@
     ) -> None:
         def answered(status: int, answer: bytes) -> None:
             if status == 200:
-                self._kept += 1
-                self._on_kept(member, _reaches_log(answer))
+                self._stored += 1
+                self._on_stored(member, _reaches_log(answer))
                 settle(False)
             else:
                 self._on_failed(member, status == messages.STOPPING_STATUS)
@@ -117,16 +117,16 @@
 
         def unanswered(error) -> None:
             self._on_failed(member, False)
-            settle(self._is_exhaustive or not self._kept)
+            settle(self._is_exhaustive or not self._stored)
 
         def settle(asks_next: bool) -> None:
             self._pending -= 1
             needs_more = self._on_done is not None
-            needs_more = needs_more and self._kept < TARGET_COPIES
+            needs_more = needs_more and self._stored < TARGET_REPLICAS
             if asks_next and needs_more and self._remaining:
                 self._pending += 1
                 self._ask(self._remaining.pop(0), body, seconds)
-            elif self._kept >= TARGET_COPIES or not self._pending:
+            elif self._stored >= TARGET_REPLICAS or not self._pending:
                 self._finish()
 
         request = messages.request_to(
@@ -138,7 +138,7 @@
     def _finish(self) -> None:
         on_done, self._on_done = self._on_done, None
         if on_done is not None:
-            on_done(self._kept)
+            on_done(self._stored)
 
 
 def _reaches_log(answer: bytes) -> bool:
--- a/postspring/peering/service.py
+++ b/postspring/peering/service.py
@@ -14,9 +14,9 @@
 
 LOG = logging.getLogger(__name__)
 
-# Forwards a call to the log: method, path, body, and a callback that gets
-# status and body of the response.
-ForwardCall = Callable[[str, str, bytes, Callable[[int, bytes], None]], None]
+# Relays a call to the log: method, path, body, and a callback that gets status
+# and body of the response.
+RelayCall = Callable[[str, str, bytes, Callable[[int, bytes], None]], None]
 TakeLoads = Callable[[messages.LoadsReport], messages.Loads]
 AnswerPermit = Callable[[messages.PermitRequest], messages.PermitResponse]
 
@@ -29,8 +29,8 @@
 
     journal : Journal
         The turns that this VM has in memory.
-    forward_call : callable
-        Forwards another VM's call to the log.
+    relay_call : callable
+        Relays another VM's call to the log.
     leases : Promises
         Leases on programs, granted to other VMs.
     is_complete : callable
@@ -41,7 +41,7 @@
         Called with name and entry of a VM that may be new.
     takes_copies : callable
         Returns whether this VM stays up: one that is shutting down refuses
-        copies, and the sender asks others at once.
+        replicas, and the sender asks others at once.
     is_direct : callable
         Returns whether the direct path from this VM leads to the log.
     reaches_log : callable
@@ -59,7 +59,7 @@
     def __init__(
         self,
         journal: histories.Journal,
-        forward_call: ForwardCall,
+        relay_call: RelayCall,
         leases: leases_module.Promises,
         is_complete: Callable[[], bool],
         view_of: Callable[[str], keyedlog.LogPage | None],
@@ -80,7 +80,7 @@
         self._introduce = introduce
         self._view_of = view_of
         self._journal = journal
-        self._forward_call = forward_call
+        self._relay_call = relay_call
         self._leases = leases
         self._is_complete = is_complete
 
@@ -89,7 +89,7 @@
         prefix = messages.STORE_PREFIX
         try:
             if call.target.startswith(prefix):
-                self._forward_store_call(call, call.target[len(prefix) :])
+                self._relay_store_call(call, call.target[len(prefix) :])
             elif call.target == messages.KEEP_PATH:
                 self._keep(call)
             elif call.target == messages.RECORD_PATH:
@@ -114,7 +114,7 @@
             )
             call.respond(400, [])
 
-    def _forward_store_call(
+    def _relay_store_call(
         self, call: transport.IncomingCall, path: str
     ) -> None:
         # A call that fails here as well would take 1.2 s to time out.
@@ -125,7 +125,7 @@
         def answered(status: int, body: bytes) -> None:
             call.respond(status, [], body)
 
-        self._forward_call(call.method, path, call.body, answered)
+        self._relay_call(call.method, path, call.body, answered)
 
     def _keep(self, call: transport.IncomingCall) -> None:
         request = messages.decode(messages.KeepRequest, call.body)
@@ -134,8 +134,8 @@
             return
         for record in request.records:
             self._journal.keep_copy(record, request.is_log_away)
-        kept = messages.KeepResponse(reaches_log=self._reaches_log())
-        call.respond(200, [], messages.encode(kept))
+        response = messages.KeepResponse(reaches_log=self._reaches_log())
+        call.respond(200, [], messages.encode(response))
 
     def _record(self, call: transport.IncomingCall) -> None:
         request = messages.decode(messages.RecordRequest, call.body)
--- a/postspring/peering/tests/test_partial_power_loss.py
+++ b/postspring/peering/tests/test_partial_power_loss.py
@@ -2,10 +2,10 @@
 
 Guards against the loss of turns that callers had received in full, as in a
 simulation in which a third of the VMs did not reach the log and four in ten
-appends of the others were not answered.  Some turns ended with copies at VMs
+appends of the others were not answered.  Some turns ended with replicas at VMs
 only, 0.1 to 0.7 s before the loss of power (``kept`` in the log lines); others
 were in the log, but the turns that they continue were not.  The reasons: VMs
-that kept copies did not report whether they reach the log, so that authors
+that stored replicas did not report whether they reach the log, so that authors
 ended turns which others could have recorded; and a record in the log counted
 as enough although the chain before it was not recorded.
 """
@@ -145,7 +145,7 @@
 
     Guards against the loss of turns when all VMs lose power 1.05 s after the
     cut: in a simulation with 65 VMs, three turns had ended behind the cut with
-    copies at its VMs only.  Most interruptions are shorter than callers wait
+    replicas at its VMs only.  Most interruptions are shorter than callers wait
     at the end of a turn, so ends of turns wait at first.
     """
 
