--- a/postspring/peering/failover.py
+++ b/postspring/peering/failover.py
@@ -17,7 +17,7 @@
 # A direct call without a response for this long is hedged: another VM makes it
 # as well.  Usual responses take 4 ms, those of a slow store 0.25 s.
 HEDGE_SECONDS = 0.3
-# Appends are hedged later while they have lately taken long: a slow log
+# Appends are hedged later while they have recently taken long: a slow log
 # counted as unreachable, and each call was made twice.  This is the upper
 # bound; a turn waits for 0.6 s.
 MAX_HEDGE_SECONDS = 0.5
@@ -30,7 +30,7 @@
 # The same for reads of records that have to be known within a bound: their
 # callers pause between reads.
 BOUNDED_PROBE_SECONDS = 0.1
-# Time for which a VM that could not help is not asked again.
+# Time for which a VM that could not help gets no request.
 AVOID_SECONDS = 1.0
 # Failures in a row after which the whole log counts as unreachable by the
 # direct path, and not only the partitions that failed.
@@ -46,7 +46,7 @@
 # end of a turn waits about as long.
 BRIEF_LOSS_SECONDS = 1.0
 # If the log has accepted a call within this time, its refusals for too many
-# calls mean that it is busy; otherwise that it turns this VM away.
+# calls mean that it is busy; otherwise that it refuses all calls of this VM.
 BUSY_SECONDS = 1.0
 
 
@@ -106,7 +106,7 @@
 
     @property
     def accepts_calls(self) -> bool:
-        """Whether the log has lately answered a direct call of this VM."""
+        """Whether the log has recently answered a direct call of this VM."""
         return self._timers.now() - self._direct_answered_at < BUSY_SECONDS
 
     @property
@@ -171,7 +171,7 @@
         """Read records, by the direct path or through another VM.
 
         Only a working direct path is read with a wait: when reads waited on a
-        lost path, and at VMs that were turned away as well, some VMs had
+        lost path, and at VMs that the log refused as well, some VMs had
         configurations that were 8 s old.
         """
         if not self.is_direct_usable(place):
@@ -240,7 +240,7 @@
 
         While the partition, or the whole log, can't be reached directly, only
         a probe now and then goes there.  A probe that hangs delays its caller
-        until other VMs are asked, so a lost path is probed once for all
+        until a helper gets the call, so a lost path is probed once for all
         partitions; but reads that have a bound are few, and probe it
         themselves.
         """
@@ -311,7 +311,7 @@
             self._unreachable_until[place] = until
 
     def helpers(self, place: keyedlog.LogPlace) -> list[members_module.Member]:
-        """Return the VMs to ask for help with a partition, best first."""
+        """Return the VMs that may relay calls for a partition, best first."""
         now = self._timers.now()
         is_away = self._unreachable_until.get(place, 0.0) > now
         if is_away and place.subject is not keyedlog.Subject.CONFIGURATION:
@@ -328,9 +328,9 @@
         return self._helper is not None
 
     def note_helper(self, member: members_module.Member) -> None:
-        """Remember a VM that helped.
+        """Remember a VM that relayed a call.
 
-        Until it fails, each call through other VMs asks it first, and alone.
+        Until it fails, it is the first and only helper that calls start with.
         """
         self._helper = member.name
 
@@ -339,7 +339,7 @@
         return self._through(member)
 
     def avoid(self, member: members_module.Member, asked_at: float) -> None:
-        """Don't ask a VM that could not help again for a while.
+        """Avoid a VM that could not help for a while.
 
         The time counts from the request: calls that hang on connections which
         fell silent together end one after the other, and each end kept the
--- a/postspring/peering/failover_call.py
+++ b/postspring/peering/failover_call.py
@@ -10,16 +10,17 @@
 # Timeout of a call while the circuit breaker is open: longer than the hedge,
 # and shorter than the store's own timeout, so that the next call soon follows.
 OUTAGE_TIMEOUT_SECONDS = 0.5
-# VMs that are asked to help with a call, one after the other.  With two thirds
-# of the VMs turned away, one of this many helps in 24 of 25 calls (by chance,
-# if none is known to be able to).  With two, and a third turned away, one call
-# in eight failed, and its partition then counted as unreachable for 2 s.
+# VMs that are asked to relay a call, one after the other.  When the log
+# refuses two thirds of the VMs, one of this many helps in 24 of 25 calls (by
+# chance, if none is known to be able to).  With two, and a third of the VMs
+# refused, one call in eight failed, and its partition then counted as
+# unreachable for 2 s.
 MAX_HELPERS = 8
 # VMs asked after the busy log refused a call.  The call would be one too many
 # from other VMs as well, so only reads of the configuration, which has to be
 # known within a bound, are made through them.
 MAX_BUSY_HELPERS = 2
-# VMs asked for the configuration in parallel while none has helped lately.
+# VMs asked for the configuration in parallel while none has helped recently.
 CONFIGURATION_HELPERS_AT_ONCE = 3
 # After this many calls in a row with which no VM could help, the log counts as
 # unreachable for all VMs: only one is asked then, as each message costs
@@ -30,8 +31,8 @@
 # MAX_DIRECT_TRIES times in all.
 DIRECT_RETRY_SECONDS = 0.3
 MAX_DIRECT_TRIES = 3
-# A VM that was asked for the configuration and has not responded for this long
-# may be turned away itself: the next one is asked as well.
+# The log may refuse a helper as well: if it has not responded to a read of the
+# configuration for this long, the next one gets the read, too.
 CONFIGURATION_HEDGE_SECONDS = 0.1
 # The same for other calls: longer than the slow store's response, as appends
 # that are made twice are billed twice.
@@ -222,8 +223,8 @@
     def _has_failed(self) -> bool:
         """Return whether there is no response left to wait for.
 
-        For the configuration, VMs that were asked and are late may all be
-        turned away like this one: the next call asks others.
+        For the configuration, the log may refuse all helpers that are late, as
+        it does this VM: the next call uses others.
         """
         if not self._pending:
             return True
@@ -266,7 +267,7 @@
     def _helper_overdue(
         self, member: members_module.Member, asked_at: float
     ) -> None:
-        """Ask another VM as well, as this one has not responded yet."""
+        """Ask another helper as well, as this one has not responded yet."""
         if self._finished or member.name in self._late_helpers:
             return
         self._late_helpers.add(member.name)
--- a/postspring/peering/holders.py
+++ b/postspring/peering/holders.py
@@ -16,7 +16,7 @@
 KEEP_TIMEOUT_SECONDS = 0.25
 # No caller waits for the records that a VM hands over when it shuts down.
 HAND_OVER_TIMEOUT_SECONDS = 1.0
-# A VM that failed to store a replica is asked last for this long.
+# A VM that failed to store a replica comes last for this long.
 AVOID_SECONDS = 1.0
 
 
--- a/postspring/peering/isolation.py
+++ b/postspring/peering/isolation.py
@@ -32,7 +32,7 @@
 
 
 class Isolation:
-    """Tells when other data centres can serve callers better.
+    """Detects when other data centres can serve callers better.
 
     Explanation
     ===========
@@ -40,9 +40,9 @@
     In a data centre that is cut off, neither the log nor most upstreams can be
     reached, while every other data centre can continue the same programs from
     the turns in the log.  So the VM reports that it isn't ready, which makes
-    the load balancer use other data centres, and tells callers that still
-    arrive to retry, for as long as the balancer takes for that.  Callers that
-    arrive later can't be served elsewhere, and get what this VM can do.
+    the load balancer use other data centres, and has callers that still arrive
+    retry, for as long as the balancer takes for that.  Callers that arrive
+    later can't be served elsewhere, and get what this VM can do.
 
     If the log is unreachable for all VMs, other VMs respond to the probes and
     none of this applies.
--- a/postspring/peering/loads.py
+++ b/postspring/peering/loads.py
@@ -31,7 +31,7 @@
 REPORT_INTERVAL_SECONDS = 0.2
 # Age up to which a report counts: two in a row may be lost.
 REPORT_VALID_SECONDS = 0.7
-# A collector that has not responded by then is not asked for AVOID_SECONDS.
+# A collector that has not responded by then gets no report for AVOID_SECONDS.
 ANSWER_TIMEOUT_SECONDS = 0.15
 AVOID_SECONDS = 3.0
 # Time that a VM without calls continues to report: others have to learn that
@@ -117,7 +117,7 @@
 
 
 class LoadExchange:
-    """Reports this VM's calls in flight, and learns those of all others.
+    """Reports this VM's calls in flight, and gets those of all others.
 
     Parameters
     ==========
@@ -127,9 +127,9 @@
     directory : Directory
         The upstreams, with this VM's calls there.
     configuration : Follower, optional
-        The configuration's records.  A response passes on up to where the log
-        has confirmed them; a report doesn't, as only a VM that asked has an
-        upper bound of the age.
+        The configuration's records.  A response includes the offset up to
+        which the log has confirmed them; a report doesn't, as only the sender
+        of a request has an upper bound of the age.
     """
 
     def __init__(
--- a/postspring/peering/members.py
+++ b/postspring/peering/members.py
@@ -60,8 +60,8 @@
     Explanation
     ===========
 
-    The list only suggests which VMs to ask: no guarantee depends on its being
-    correct.
+    The list only suggests the VMs to send requests to: no guarantee depends on
+    its being correct.
 
     Parameters
     ==========
@@ -69,7 +69,7 @@
     own : Member
         This VM.
     seeds : tuple
-        Addresses of VMs to ask while the list can't be read.
+        Addresses of VMs to use while the list can't be read.
     ask_others : callable
         Requests other VMs' views of the list.
 
@@ -195,8 +195,7 @@
     @property
     def sharers(self) -> int:
         """Number of VMs that share the log's rate, this one included."""
-        # Until the first read the list is empty, like that of a VM that is
-        # alone.
+        # Until the first read the list is empty, like that of a single VM.
         known = math.isfinite(self._follower.age)
         return max(1 if known else ASSUMED_VMS, len(self.by_name))
 
--- a/postspring/peering/messages.py
+++ b/postspring/peering/messages.py
@@ -85,24 +85,25 @@
 
 
 class FindRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Query for a program: is it known, and can its next turn run there?
+    """Query for a program: does a VM have it, and can the turn run there?
 
     Parameters
     ==========
 
     vm : str
-        Name of the VM that asks.
+        Name of the requesting VM.
     previous : str or None
         The turn that the next one continues.
     ceiling : int
         Maximum number of tokens that the next turn may generate.
     incarnation : str
-        Incarnation of the process that asks.
+        Incarnation of the requesting process.
     entry : bytes
-        Entry of the asking VM in the list of VMs, which the receiver may not
-        have read yet.
+        Entry of the requesting VM in the list of VMs, which the receiver may
+        not have read yet.
     is_offline_request : bool
-        The asking VM may run the program offline after the responses.
+        Requests a lease on the program: the VM may run it offline after the
+        responses.
     """
 
     vm: str
@@ -128,7 +129,7 @@
         The VM has the turn that is to be continued in memory.
     is_complete : bool
         The VM has been up for long enough to have every turn that ended there
-        lately.
+        recently.
     has_chain : bool
         The VM has the turn and all its predecessors in memory, and accepts
         calls.
@@ -138,19 +139,18 @@
         Tokens that the program may spend at the VM while it runs offline
         there.
     is_leased_elsewhere : bool
-        Another VM than the asking one is about to run the program offline: the
-        responding VM, which asks for leases itself, or one to which it granted
-        a lease.
+        The lease is refused, as another VM is about to run the program
+        offline: the responding VM, or one to which it has granted a lease.
     may_be_offline_elsewhere : bool
-        Another VM than the asking one has asked to run the program offline.
+        Another VM than the requesting one has requested a lease before.
     unsettled : list of (str, int)
         Turns of the program that ran offline, and the tokens that the log may
         not charge for them yet.
     home_left : int
         Tokens that the program may still spend offline at the VM.
     knows_homes : bool
-        Some program may have run offline, at the responding VM or at one that
-        asked it, whose turns the log may lack.
+        The log may lack turns of some program that ran offline, at the
+        responding VM or at one that requested a lease from it.
     """
 
     can_take: bool
@@ -174,8 +174,8 @@
     ==========
 
     vm : str
-        Name of the VM that asks; it may have just started and be on no other
-        VM's list yet.
+        Name of the requesting VM, which may have just started and be on no
+        other VM's list yet.
     entry : bytes
         Its entry in the list of VMs.
     """
@@ -251,21 +251,21 @@
 
 
 class PermitRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks a dealer whether a request of a workspace may run.
+    """Request to a dealer for a permit, or the return of one.
 
     Parameters
     ==========
 
     use : Use
-        Purpose of the request.
+        Purpose of the workspace's request.
     insists : bool
         No dealer of the data centre is ready; the receiver is to decide
         although it isn't ready either.
     ages : list of float
         Seconds since other dealers of the receiver's data centre granted
-        permits of the workspace to the asking VM.
+        permits of the workspace to the requesting VM.
     is_return : bool
-        No question: a permit is returned with which nothing ran.
+        A permit is returned with which nothing ran.
     """
 
     workspace: str
--- a/postspring/peering/peer_client.py
+++ b/postspring/peering/peer_client.py
@@ -30,13 +30,13 @@
 # slow, dead or cut off.
 FIND_TIMEOUT_SECONDS = 0.15
 VIEW_TIMEOUT_SECONDS = 0.5
-# A VM that did not respond is not asked again for this long: in a cut each
+# A VM that did not respond gets no further query for this long: in a cut each
 # turn would otherwise open a connection to every VM behind it.
 AVOID_SECONDS = 1.0
-# Number of VMs that are asked for their views in parallel.
+# Number of VMs whose views are requested in parallel.
 MAX_VIEW_REQUESTS = 3
-# Number of VMs that are asked before all others, as they were the last ones to
-# ask for running the program offline.
+# Number of VMs that are queried before all others, as they were the last ones
+# to request leases on the program.
 MAX_LIKELY_VMS = 2
 
 
@@ -53,9 +53,9 @@
     leases : Promises
         Leases on programs, granted to other VMs.
     is_complete : callable
-        Returns whether this VM has every turn that ended here lately.
+        Returns whether this VM has every turn that ended here recently.
     isolation : Isolation
-        Tells whether this VM is cut off.
+        Detects whether this VM is cut off.
     timers : Timers
         Time, and delays of requests.
 
@@ -63,7 +63,7 @@
     ==========
 
     holders : Holders
-        The same VMs as holders of records.
+        The same VMs as holders of replicas.
     """
 
     def __init__(
@@ -123,11 +123,11 @@
         on_done: Callable[[forwarding.Finding], None],
         question: forwarding.Question = forwarding.Question.TAKER,
     ) -> None:
-        """Ask the other VMs about a turn's program and its chain.
+        """Query the other VMs for a turn's program and its chain.
 
-        The VMs of this data centre are asked before the others: most programs
-        stay in one data centre, and a VM there that can run the turn saves
-        messages to all others.
+        The VMs of this data centre get the query before the others: most
+        programs stay in one data centre, and a VM there that can run the turn
+        saves messages to all others.
         """
         if question is forwarding.Question.UNSETTLED:
             self._settlement.ask_once(
@@ -149,7 +149,7 @@
         on_done: Callable[[forwarding.Finding], None],
         on_answers: Callable[[], None],
     ) -> None:
-        """Ask the VMs that may have turns the log doesn't charge yet."""
+        """Query the VMs that may have turns the log doesn't charge yet."""
 
         def found(finding: forwarding.Finding) -> None:
             self._settlement.note_finding(facts.program, finding)
@@ -249,8 +249,8 @@
         have_leases_expired = waited > leases_module.PROMISE_SECONDS
         if have_leases_expired or not self._members.is_announced:
             # No program may begin here: either the leases from other VMs have
-            # expired, as this VM was paused, or other VMs would not have this
-            # one on their lists, and not ask it.
+            # expired, as this VM was paused, or this VM is on no other VM's
+            # list, and would not get their queries.
             finding = dataclasses.replace(finding, is_answered=False)
         if self._leases.was_requested_elsewhere(program, own.incarnation):
             finding = dataclasses.replace(finding, has_gone_on=True)
@@ -264,11 +264,10 @@
         listed: list[members_module.Member],
         awaits_all: bool,
     ) -> list[list[members_module.Member]]:
-        """Return the VMs to ask first, and those to ask if none can run it.
+        """Return the VMs to query first, and those if none can run the turn.
 
-        The VM that asked last to run the program offline most likely still
-        runs it: asked alone, it answers most queries with one message instead
-        of one for each VM.
+        The VM that requested leases last most likely still runs the program: a
+        query to it alone mostly replaces one message to each VM.
         """
         others = [
             member for member in listed if member not in self._unresponsive
@@ -300,7 +299,7 @@
         place: keyedlog.LogPlace,
         on_page: Callable[[keyedlog.LogPage], None],
     ) -> None:
-        """Ask some VMs for the records of a subject that they have read."""
+        """Request the records of a subject that some other VMs have read."""
         members = self._members
         request = messages.ViewRequest(
             place.subject.value, members.own.name, members.own_entry
--- a/postspring/peering/permits.py
+++ b/postspring/peering/permits.py
@@ -1,9 +1,9 @@
-"""Permits: asks dealers whether a workspace's rate limit allows a call.
+"""Permits: requests to dealers, which allocate workspaces' rate limits.
 
-A dealer allocates a data centre's part of the limit
-(:mod:`postspring.quotas`).  A VM asks a dealer of its own data centre first,
-and those of the other data centres if that one refuses: so the whole limit can
-be used, whichever data centre the callers use.
+A dealer allocates a data centre's part of a limit (:mod:`postspring.quotas`).
+A VM sends its request to a dealer of its own data centre first, and to those
+of the other data centres if that one refuses: so the whole limit can be used,
+whichever data centre the callers use.
 """
 
 from collections.abc import Callable
@@ -22,16 +22,15 @@
 __all__ = ["Permits"]
 
 # VMs respond to each other in a few ms; a dealer that has not responded by
-# then is slow, dead or cut off, and is not asked for AVOID_SECONDS.
+# then is slow, dead or cut off, and gets no request for AVOID_SECONDS.
 ANSWER_TIMEOUT_SECONDS = 0.12
 AVOID_SECONDS = 0.7
 TICK_SECONDS = 0.2
 # A refusal is reused for this long at most, as limits may change.
 MAX_REFUSAL_SECONDS = 2.0
 MIN_REFUSAL_SECONDS = 0.05
-# Callers are told to retry after a delay that is longer by a random part of
-# it, up to this fraction, so that those refused together don't all return at
-# once.
+# Callers get a retry delay that is longer by a random part of it, up to this
+# fraction, so that those refused together don't all return at once.
 RETRY_SPREAD = 0.3
 
 OnVerdict = Callable[[forwarding.Verdict], None]
@@ -96,7 +95,7 @@
         use: quotas.Use,
         on_done: OnVerdict,
     ) -> None:
-        """Ask whether a call may run."""
+        """Request a permit for a call."""
         now = self._timers.now()
         until = self._refused_until.get((workspace.name, use), 0.0)
         if until > now:
@@ -165,7 +164,7 @@
         on_deal: Callable[[quotas.Deal], None],
         on_failure: Callable[[], None],
     ) -> None:
-        """Ask one dealer, which may be this VM."""
+        """Request a permit from one dealer, which may be this VM."""
         now = self._timers.now()
         part = (workspace.name, member.data_center, member.incarnation)
         ages = self._granted.ages(*part, now)
@@ -256,7 +255,7 @@
         self._asked = 0
 
     def start(self) -> None:
-        """Ask the dealers of this data centre first."""
+        """Request a permit in this data centre first."""
         self._next_data_center()
 
     # -- own ------------------------------------------------------------------
--- a/postspring/peering/promises.py
+++ b/postspring/peering/promises.py
@@ -1,17 +1,18 @@
-"""Leases that keep two VMs from running the same program offline.
-
-Before a VM runs a program offline, it asks all others.  Each of them grants it
-a short lease on the program, or responds that another VM has precedence.  A VM
-that has granted a lease does not run the program offline itself.  Each VM also
-remembers which VMs asked, so that it can name them when the next one asks and
-those are gone.
+"""Leases that prevent two VMs from running the same program offline.
+
+Before a VM runs a program offline, it requests a lease on the program from all
+others.  Each of them grants it for a short time, or responds that another VM
+has precedence.  A VM that has granted a lease does not run the program offline
+itself.  Each VM also remembers the requesters: one may be gone when the next
+VM sends its requests, and that VM has to learn that the program may have run
+offline already.
 """
 
 from collections.abc import Callable
 
 __all__ = ["Promises"]
 
-# Longer than a VM takes to ask the others and to begin.
+# Longer than a VM takes to request leases and to begin.
 PROMISE_SECONDS = 0.5
 # Programs whose requesters are remembered, the latest ones: about 1 MB.
 MAX_PROGRAMS = 10_000
@@ -24,8 +25,8 @@
     ==========
 
     name : str
-        Name of this VM; of two VMs that ask at the same time the first by name
-        has precedence.
+        Name of this VM; of two VMs that request a lease at the same time the
+        first by name has precedence.
     now : callable
         Monotonic time in seconds.
 
@@ -97,7 +98,7 @@
 
     @property
     def any_may_be_unsettled(self) -> bool:
-        """Whether any VM that asked may have unrecorded turns."""
+        """Whether the log may lack turns of any program that ran offline."""
         return any(
             set(requesters) - self._settled_by_program.get(program, set())
             for program, requesters in self._requesters_by_program.items()
@@ -125,8 +126,8 @@
     def grant(self, program: str, vm: str) -> bool:
         """Grant a VM a lease on a program, unless another VM has precedence.
 
-        The other one is the holder of a lease, or this VM while it asks for a
-        lease itself and comes first by name.
+        That is the holder of a lease, or this VM while it requests leases
+        itself and comes first by name.
         """
         if program in self._open_requests and self._name < vm:
             return False
@@ -141,7 +142,7 @@
         return self._holder(program) is not None
 
     def begin_request(self, program: str) -> None:
-        """Take note that this VM has begun to ask the others for leases."""
+        """Take note that this VM has begun to request leases."""
         self._open_requests[program] = self._open_requests.get(program, 0) + 1
 
     def end_request(self, program: str) -> None:
--- a/postspring/peering/recorders.py
+++ b/postspring/peering/recorders.py
@@ -1,4 +1,4 @@
-"""VMs that reach the log, asked to append what this VM can't."""
+"""Has turns appended by VMs that reach the log, when this one can't."""
 
 from collections.abc import Callable
 import functools
@@ -15,9 +15,9 @@
 # Age up to which a VM's report that it reaches the log is relied on: about the
 # time without a response after which a VM reports the opposite.
 LOG_REPORT_SECONDS = 1.0
-# If a VM has not appended the records by then, the next one is asked as well:
-# usually it takes some ms, and one lost response is made up for within this
-# time.
+# If a VM has not appended the records by then, the next one gets the request
+# as well: usually an append takes some ms, and one lost response is made up
+# for within this time.
 RECORD_HEDGE_SECONDS = 0.15
 # Most VMs that may append the same turns.
 MAX_RECORDERS = 3
@@ -136,13 +136,13 @@
 
 
 class _RecordCall:
-    """Hedged request: asks a VM, and the next one if the first is late.
+    """Hedged request to append turns: if a VM is late, the next gets it.
 
     Parameters
     ==========
 
     vms : list of Member
-        VMs to ask, first to last.
+        VMs to use, first to last.
     on_refused : callable
         Called with each VM that refuses, as it doesn't reach the log or is
         shutting down.
@@ -167,7 +167,7 @@
         self._ends_at = timers.now()
 
     def send(self, turns: list[bytes], timeout: float) -> None:
-        """Ask the first VM; all requests together have ``timeout`` seconds."""
+        """Send the first request; all together have ``timeout`` seconds."""
         body = messages.encode(messages.RecordRequest(turns))
         self._ends_at += timeout
         if self._remaining:
--- a/postspring/peering/replicas.py
+++ b/postspring/peering/replicas.py
@@ -15,9 +15,9 @@
     "holder_order",
 ]
 
-# VMs that are asked to store a replica in parallel, and number of replicas
-# that ends the wait for more.  VMs are killed one after the other, also while
-# the log is unreachable, so one replica is not enough.
+# Number of requests to store a replica that are sent in parallel, and number
+# of replicas that ends the wait for more.  VMs are killed one after the other,
+# also while the log is unreachable, so one replica is not enough.
 PARALLEL_REQUESTS = 4
 TARGET_REPLICAS = 2
 
@@ -27,7 +27,7 @@
     data_center: str,
     is_avoided: Callable[[members_module.Member], bool],
 ) -> list[members_module.Member]:
-    """Return the VMs to ask, first to last.
+    """Return the VMs in the order in which they get requests.
 
     One VM of this data centre, then VMs of other ones if there are any;
     avoided VMs come last.
@@ -42,23 +42,23 @@
 
 
 class ReplicationCall:
-    """Asks VMs to store replicas, and others in place of those that don't.
+    """Has replicas stored, by other VMs in place of those that fail.
 
     Explanation
     ===========
 
-    A VM that refuses is shutting down, and the next one is asked at once.  A
-    VM that does not respond is replaced only while there is no replica: in a
-    cut no VM elsewhere responds, and callers wait.
+    A VM that refuses is shutting down, and the next one gets a request at
+    once.  A VM that does not respond is replaced only while there is no
+    replica: in a cut no VM elsewhere responds, and callers wait.
 
     Parameters
     ==========
 
     holders : list of Member
-        VMs to ask, first to last.
+        VMs to use, first to last.
     is_exhaustive : bool
         No caller waits: VMs that don't respond are always replaced, until
-        there are enough replicas or all VMs have been asked.
+        there are enough replicas or no VMs are left.
     on_stored : callable
         Called with each VM that stores the records, and whether it reaches the
         log.
@@ -91,7 +91,7 @@
     def send(
         self, records: list[bytes], seconds: float, is_log_away: bool = False
     ) -> None:
-        """Ask the first VMs; each one has some seconds to respond."""
+        """Send the first requests; each VM has ``seconds`` to respond."""
         body = messages.encode(messages.KeepRequest(records, is_log_away))
         first = self._remaining[:PARALLEL_REQUESTS]
         self._remaining = self._remaining[PARALLEL_REQUESTS:]
--- a/postspring/peering/search.py
+++ b/postspring/peering/search.py
@@ -18,7 +18,7 @@
 
 
 class Search:
-    """Asks VMs in stages and collects their responses.
+    """Sends a query to VMs in stages and collects their responses.
 
     Parameters
     ==========
@@ -26,14 +26,15 @@
     others : list of Member
         All VMs that may have a part of the answer.
     stages : list of list of Member
-        VMs to ask first, and those to ask if none of them can run the turn.
+        VMs to query first, and those to query if none of them can run the
+        turn.
     ask : callable
         Sends the query to some VMs; returns False if the rate limit forbids
         it, and then the search ends without their responses.
     on_done : callable
         Called with the search when it has ended.
     absent : list of Member
-        VMs that can't be asked and may be running still.
+        VMs that can't be queried and may be running still.
     awaits_all : bool
         The search doesn't end with the first VM that can run the turn.
     """
@@ -95,7 +96,7 @@
         self._count_down()
 
     def start(self) -> None:
-        """Ask the next stage, or report the end if there is none left."""
+        """Query the next stage, or report the end if there is none left."""
         while self._stages:
             stage = self._stages.pop(0)
             if not stage:
@@ -133,8 +134,7 @@
         return forwarding.Finding(
             taker=_as_upstream(self._taker),
             chain_holder=_as_upstream(self._chain_holder),
-            # The VMs that were asked can't answer for those that the rate
-            # limit left out.
+            # Responses say nothing of the VMs that the rate limit left out.
             is_answered=bool(answers) and not self._is_refused,
             is_refused=self._is_refused,
             doubts=doubts,
@@ -155,7 +155,7 @@
 
     def _doubts(self, is_complete: bool) -> tuple[forwarding.Doubt, ...]:
         """Return why a VM may have a turn that no response mentioned."""
-        # A VM that was started lately has lost the turns it had in memory.
+        # A VM that was started recently has lost the turns it had in memory.
         has_restarted = not all(
             item.is_complete for item in self._answers.values()
         )
--- a/postspring/peering/service.py
+++ b/postspring/peering/service.py
@@ -34,7 +34,7 @@
     leases : Promises
         Leases on programs, granted to other VMs.
     is_complete : callable
-        Returns whether this VM has every turn that ended here lately.
+        Returns whether this VM has every turn that ended here recently.
     view_of : callable
         Returns the records of a subject that this VM has read, or None.
     introduce : callable
--- a/postspring/peering/settlement.py
+++ b/postspring/peering/settlement.py
@@ -1,8 +1,9 @@
 """Finds the programs that ran offline while this VM was down.
 
 A program that ran offline at another VM may have used tokens that the log does
-not charge yet.  A VM asks all others before it runs a program offline; one
-that was down at that time has missed the query, and asks the others itself.
+not charge yet.  A VM sends a query to all others before it runs a program
+offline; one that was down at that time has missed it, and sends queries
+itself.
 """
 
 from collections.abc import Callable
@@ -17,7 +18,8 @@
 __all__ = ["Settlement"]
 
 # After an outage of the log, the turns of offline programs are recorded within
-# seconds; a VM that was started meanwhile asks for them for this long.
+# seconds; a VM that was started meanwhile sends queries for them for this
+# long.
 STARTUP_SECONDS = 8.0
 # Most programs that a VM remembers as settled after its start.
 MAX_SETTLED_PROGRAMS = 10_000
@@ -30,8 +32,8 @@
     ===========
 
     A VM that responds that no program ran offline there, and that no other VM
-    has asked it for that, needs no further query: a VM that runs a program
-    offline afterwards asks this one first, like all others.
+    has requested a lease from it, needs no further query: before a VM runs a
+    program offline, this one gets its query, like all others.
 
     Parameters
     ==========
@@ -39,9 +41,9 @@
     own : str
         This VM's incarnation.
     leases : Promises
-        The VMs that asked this one to run programs offline.
+        The VMs that requested leases from this one.
     is_complete : callable
-        Returns whether this VM has every turn that ended here lately.
+        Returns whether this VM has every turn that ended here recently.
     now : callable
         Monotonic time in seconds.
     """
@@ -70,7 +72,8 @@
         """Return whether other VMs may have turns that aren't charged yet."""
         if self._leases.may_be_unsettled(program, self._own):
             return True
-        # A VM that has begun to run it offline after that has asked this VM.
+        # A VM that has begun to run it offline after that has requested a
+        # lease from this VM.
         is_settled = program in self._settled
         return (
             not is_settled
@@ -83,7 +86,7 @@
         program: histories.ProgramId,
         listed: Iterable[members_module.Member],
     ) -> list[members_module.Member]:
-        """Return the VMs that may have uncharged turns of a program."""
+        """Return the VMs to query for uncharged turns of a program."""
         if self._leases.may_be_unsettled(program, self._own):
             return list(listed)
         return self._may_have_offline(listed)
@@ -110,9 +113,9 @@
         program: histories.ProgramId,
         ask: Callable[[Callable[[], None]], None],
     ) -> None:
-        """Ask now, or after the responses to a query that is under way.
+        """Send a query now, or after the responses to one under way.
 
-        Most likely these leave no VM to be asked for another program.
+        Most likely these leave no VM to be queried for another program.
 
         Parameters
         ----------
