--- a/postspring/peering/messages.py
+++ b/postspring/peering/messages.py
@@ -251,7 +251,7 @@
 
 
 class PermitRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Request to a dealer for a permit, or the return of one.
+    """Request to a quota allocator for a permit, or the return of one.
 
     Parameters
     ==========
@@ -259,10 +259,10 @@
     use : Use
         Purpose of the workspace's request.
     insists : bool
-        No dealer of the data centre is ready; the receiver is to decide
+        No allocator of the data centre is ready; the receiver is to decide
         although it isn't ready either.
     ages : list of float
-        Seconds since other dealers of the receiver's data centre granted
+        Seconds since other allocators of the receiver's data centre granted
         permits of the workspace to the requesting VM.
     is_return : bool
         A permit is returned with which nothing ran.
--- a/postspring/peering/permits.py
+++ b/postspring/peering/permits.py
@@ -1,9 +1,9 @@
-"""Permits: requests to dealers, which allocate workspaces' rate limits.
+"""Permits: requests to the quota allocators of workspaces' rate limits.
 
-A dealer allocates a data centre's part of a limit (:mod:`postspring.quotas`).
-A VM sends its request to a dealer of its own data centre first, and to those
-of the other data centres if that one refuses: so the whole limit can be used,
-whichever data centre the callers use.
+A quota allocator grants permits from a data centre's part of a limit
+(:mod:`postspring.quotas`).  A VM sends its request to an allocator of its own
+data centre first, and to those of the other data centres if that one refuses:
+so the whole limit can be used, whichever data centre the callers use.
 """
 
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 __all__ = ["Permits"]
 
-# VMs respond to each other in a few ms; a dealer that has not responded by
+# VMs respond to each other in a few ms; an allocator that has not responded by
 # then is slow, dead or cut off, and gets no request for AVOID_SECONDS.
 ANSWER_TIMEOUT_SECONDS = 0.12
 AVOID_SECONDS = 0.7
@@ -38,7 +38,7 @@
 
 
 class Permits(forwarding.Limiter):
-    """Requests permits from dealers, and serves as a dealer.
+    """Requests permits from quota allocators, and has one of its own.
 
     Parameters
     ==========
@@ -76,17 +76,17 @@
         )
         self._granted = quotas.GrantedPermits(span)
         self.avoided = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
-        # Dealers by workspace and data centre, as of a revision of the list of
-        # VMs: hashing all VMs for each call would cost more than the call to
-        # the dealer.
+        # Allocators by workspace and data centre, as of a revision of the list
+        # of VMs: hashing all VMs for each call would cost more than the call
+        # to the allocator.
         self._revision = -1
-        self._dealers_by_part: dict[
+        self._allocators_by_part: dict[
             tuple[str, str], list[members_module.Member]
         ] = {}
         self._refused_until: dict[tuple[str, quotas.Use], float] = {}
 
     def start(self) -> None:
-        """Start the dealer's clock."""
+        """Start the allocator's clock."""
         self._timers.call_every(TICK_SECONDS, self._dealer.tick)
 
     def ask(
@@ -132,21 +132,21 @@
     def dealers(
         self, workspace: str, data_center: str
     ) -> list[members_module.Member]:
-        """Return the possible dealers of a workspace in a data centre.
+        """Return the possible allocators of a workspace in a data centre.
 
         They are in order of precedence.
         """
         if self._members.revision != self._revision:
             self._revision = self._members.revision
-            self._dealers_by_part.clear()
+            self._allocators_by_part.clear()
         part = (workspace, data_center)
-        found = self._dealers_by_part.get(part)
+        found = self._allocators_by_part.get(part)
         if found is None:
-            found = self._find_dealers(workspace, data_center)
-            self._dealers_by_part[part] = found
+            found = self._find_allocators(workspace, data_center)
+            self._allocators_by_part[part] = found
         return found
 
-    def _find_dealers(
+    def _find_allocators(
         self, workspace: str, data_center: str
     ) -> list[members_module.Member]:
         vms = [*self._members.by_name.values()]
@@ -155,16 +155,16 @@
             vms.append(own)
         return quotas.dealers_of(workspace, vms, data_center)
 
-    def ask_dealer(
+    def ask_allocator(
         self,
         member: members_module.Member,
         workspace: workspaces.Workspace,
         use: quotas.Use,
         insists: bool,
-        on_deal: Callable[[quotas.Deal], None],
+        on_decision: Callable[[quotas.Deal], None],
         on_failure: Callable[[], None],
     ) -> None:
-        """Request a permit from one dealer, which may be this VM."""
+        """Request a permit from one allocator, which may be this VM's."""
         now = self._timers.now()
         part = (workspace.name, member.data_center, member.incarnation)
         ages = self._granted.ages(*part, now)
@@ -174,7 +174,7 @@
                 self._granted.note_told(*part)
             if deal.state is quotas.DealState.GRANTED:
                 self._granted.add(*part, self._timers.now())
-            on_deal(deal)
+            on_decision(deal)
 
         def failed() -> None:
             self.avoided.add(member)
@@ -187,7 +187,7 @@
         self._send(member, request, on_answer, failed)
 
     def give_back(self, member: members_module.Member, workspace: str) -> None:
-        """Return a permit to its dealer.
+        """Return a permit to its allocator.
 
         If the message is lost, the permit counts as used.
         """
@@ -215,13 +215,13 @@
         is_first = first.name == own.name
         return self._dealer.ask(workspace, use, is_first, insists, ages)
 
-    def _send(self, member, request, on_deal, on_failure) -> None:
+    def _send(self, member, request, on_decision, on_failure) -> None:
         def answered(status: int, body: bytes) -> None:
-            deal = _decode_deal(status, body)
+            deal = _decode_decision(status, body)
             if deal is None:
                 on_failure()
             else:
-                on_deal(deal)
+                on_decision(deal)
 
         self._http.send(
             messages.request_to(
@@ -235,7 +235,7 @@
 
 
 class _PermitCall:
-    """One call's request for a permit, which tries dealer after dealer."""
+    """One call's request for a permit, which tries one VM after the other."""
 
     def __init__(
         self,
@@ -270,14 +270,14 @@
             member for member in found if member not in self._permits.avoided
         ]
         self._unready = None
-        self._next_dealer()
+        self._next_allocator()
 
-    def _next_dealer(self) -> None:
+    def _next_allocator(self) -> None:
         if self._dealers:
             self._ask(self._dealers.pop(0), False)
         elif self._unready is not None:
-            # No dealer here is ready; the first one that said so decides all
-            # the same.
+            # No allocator here is ready; the first one that responded so
+            # decides all the same.
             member, self._unready = self._unready, None
             self._ask(member, True)
         else:
@@ -285,16 +285,18 @@
 
     def _ask(self, member: members_module.Member, insists: bool) -> None:
         self._asked += 1
-        self._permits.ask_dealer(
+        self._permits.ask_allocator(
             member,
             self._workspace,
             self._use,
             insists,
-            functools.partial(self._handle_deal, member, insists),
-            self._next_dealer,
+            functools.partial(self._handle_decision, member, insists),
+            self._next_allocator,
         )
 
-    def _handle_deal(self, member, insists: bool, deal: quotas.Deal) -> None:
+    def _handle_decision(
+        self, member, insists: bool, deal: quotas.Deal
+    ) -> None:
         if deal.state is quotas.DealState.GRANTED:
             give_back = functools.partial(
                 self._permits.give_back, member, self._workspace.name
@@ -310,7 +312,7 @@
         else:
             if not insists and self._unready is None:
                 self._unready = member
-            self._next_dealer()
+            self._next_allocator()
 
     def _end(self) -> None:
         if not self._waits:
@@ -330,8 +332,8 @@
     return forwarding.Verdict(False, retry_after=seconds, dealers=asked)
 
 
-def _decode_deal(status: int, body: bytes) -> quotas.Deal | None:
-    """Return a dealer's response; None if it is malformed."""
+def _decode_decision(status: int, body: bytes) -> quotas.Deal | None:
+    """Return an allocator's response; None if it is malformed."""
     if status != 200:
         return None
     try:
