--- a/postspring/front/__init__.py
+++ b/postspring/front/__init__.py
@@ -1,1 +1,1 @@
-"""Front: an entry VM on the users' platform, put together and run."""
+"""Front: assembles and runs an entry VM on the users' platform."""
--- a/postspring/front/callers_report.py
+++ b/postspring/front/callers_report.py
@@ -1,4 +1,4 @@
-"""What is told of callers' connections: one line and one count for each."""
+"""Reports failures on callers' connections to the log and the metrics."""
 
 import logging
 
@@ -6,21 +6,21 @@
 from postspring import platform
 from postspring import transport
 
-__all__ = ["CallersReport"]
+__all__ = ["ConnectionReporter"]
 
 LOG = logging.getLogger(__name__)
 
 
-class CallersReport:
-    """Reports what is not the end of a call.
+class ConnectionReporter:
+    """Writes a log line and a count for each failure on a connection.
 
     Parameters
     ==========
 
     metrics : Metrics
-        Counts what is reported.
+        Receives the counts.
     wire : PlatformWireFormat
-        Finds the id of a request.
+        Decodes a request's id from its header.
     """
 
     def __init__(
@@ -31,20 +31,26 @@
         self._metrics = metrics
         self._wire = wire
 
-    def unreadable(self, status: int) -> None:
-        """Report a request that could not be read."""
+    def report_unreadable(self, status: int) -> None:
+        """Report a refused request that was not read to its end.
+
+        This includes connections beyond the limit, with status 503.
+        """
         self._metrics.refused(f"unreadable_{status}", "no")
-        LOG.info("request not readable", extra={"status": status})
+        LOG.info(
+            "request refused before it was fully read",
+            extra={"status": status},
+        )
 
-    def cut(self, cut: transport.Cut) -> None:
-        """Report a connection that ended with something owed."""
+    def report_cut(self, cut: transport.Cut) -> None:
+        """Report a connection that ended before its answer was delivered."""
         ended_by = cut.ended_by.value
         self._metrics.cuts.add(1, {"ended_by": ended_by})
         request = ""
         if cut.call is not None:
             request = self._wire.decode_call(cut.call.header).request
         LOG.info(
-            "connection cut",
+            "connection closed before its answer was delivered",
             extra={
                 "ended_by": ended_by,
                 "request": request,
--- a/postspring/front/completeness.py
+++ b/postspring/front/completeness.py
@@ -1,38 +1,53 @@
-"""Whether a VM knows all turns that began here within their retention."""
+"""Decides whether a VM's memory covers the retention of turns.
 
-__all__ = ["is_complete"]
+A VM loses its turns when it restarts.  That a VM lacks a turn is evidence
+that the turn does not exist only if its memory covers the retention again.
+"""
 
-# A VM that has been up for this long knows all that began here within the
-# retention of turns, 60 s on the users' routes; in seconds.  With a longer
-# retention it takes that, and the margin for turns that end meanwhile.
-COMPLETE_SECONDS = 65.0
+__all__ = ["has_all_recent_turns"]
+
+# After this uptime a VM remembers every turn that started on it within the
+# retention of turns, which is 60 s on the users' routes.  For a longer
+# retention the required uptime is that retention and a margin for turns that
+# end meanwhile.  In seconds.
+MIN_UPTIME_SECONDS = 65.0
 RETENTION_MARGIN_SECONDS = 5.0
-# After an outage that was as long, turns stand only with VMs that keep them:
-# in this time these are on the list again (they try each 0.5 s), and append
-# them (after 3 s).
-LISTED_SECONDS = 10.0
+# During an outage of the log that outlasts the uptime above, completed turns
+# exist only as copies on other VMs.  After the outage these VMs rejoin the
+# member list (they retry every 0.5 s) and append the copies (after 3 s); this
+# many seconds cover both.
+MIN_LISTED_SECONDS = 10.0
 
 
-def is_complete(
-    is_first_start: bool, uptime: float, listed: float, retention: float
+def has_all_recent_turns(
+    is_first_start: bool,
+    uptime: float,
+    listed_seconds: float,
+    retention: float,
 ) -> bool:
-    """Return whether a VM that has not heard of a turn would have.
+    """Return whether a VM's memory covers the retention of turns.
 
     Parameters
     ----------
     is_first_start : bool
-        There was no such VM before, so that nothing was forgotten.
-    uptime, listed : float
-        Seconds since it was started, and since it has been on the list.
+        Whether no VM of this name ran before, so that no memory was lost.
+    uptime, listed_seconds : float
+        Seconds since the VM started, and since it joined the member list.
     retention : float
-        Longest time in seconds for which turns are kept.
+        Longest retention of any route's turns in seconds.
 
     Examples
     --------
-    >>> is_complete(False, uptime=64.0, listed=60.0, retention=60.0)
+    >>> has_all_recent_turns(
+    ...     False, uptime=64.0, listed_seconds=60.0, retention=60.0
+    ... )
     False
-    >>> is_complete(False, uptime=100.0, listed=2.0, retention=60.0)
+    >>> has_all_recent_turns(
+    ...     False, uptime=100.0, listed_seconds=2.0, retention=60.0
+    ... )
     False
     """
-    needed = max(COMPLETE_SECONDS, retention + RETENTION_MARGIN_SECONDS)
-    return is_first_start or (uptime > needed and listed > LISTED_SECONDS)
+    needed = max(MIN_UPTIME_SECONDS, retention + RETENTION_MARGIN_SECONDS)
+    return is_first_start or (
+        uptime > needed and listed_seconds > MIN_LISTED_SECONDS
+    )
--- a/postspring/front/configuration.py
+++ b/postspring/front/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this VM."""
+"""The configuration that this VM currently applies."""
 
 from collections.abc import Callable
 import logging
@@ -13,15 +13,16 @@
 
 
 class CurrentConfiguration:
-    """Keeps the newest configuration; a version never goes back.
+    """Holds the newest configuration; its version never decreases.
 
     Parameters
     ==========
 
     key : str
-        The record's key in the log.
+        Key of the configuration's record in the log.
     decode : callable
-        Makes a snapshot of the record's bytes.
+        Returns the snapshot that a record's bytes encode; raises
+        :class:`~.errors.ConfigurationError` if they encode none.
     on_change : callable
         Called with each new snapshot.
     """
@@ -36,16 +37,17 @@
         self._decode = decode
         self._on_change = on_change
         self.snapshot: routing.Snapshot | None = None
-        # Whether the last record could be read; else an older one counts.
-        self.is_newest = True
+        # False if the newest record could not be decoded; the snapshot is
+        # then from an older record.
+        self.is_newest_readable = True
 
     @property
     def version(self) -> int:
-        """The version in force, or -1."""
+        """The version of the snapshot; -1 if there is none yet."""
         return -1 if self.snapshot is None else self.snapshot.version
 
-    def take(self, entries: list[keyedlog.LogEntry]) -> None:
-        """Apply the configurations among some records, in their order."""
+    def apply_entries(self, entries: list[keyedlog.LogEntry]) -> None:
+        """Apply the configuration records among log entries, in order."""
         for entry in entries:
             if entry.key == self._key and entry.value:
                 self._apply(entry.value)
@@ -54,10 +56,12 @@
         try:
             snapshot = self._decode(value)
         except errors.ConfigurationError as error:
-            LOG.error("configuration refused", extra={"error": str(error)})
-            self.is_newest = False
+            LOG.error(
+                "could not decode configuration", extra={"error": str(error)}
+            )
+            self.is_newest_readable = False
             return
-        self.is_newest = True
+        self.is_newest_readable = True
         if snapshot.version <= self.version:
             return
         LOG.info(
--- a/postspring/front/followers.py
+++ b/postspring/front/followers.py
@@ -1,4 +1,4 @@
-"""What a VM follows in the log: the configuration, and upstreams."""
+"""Follows the configuration and the upstreams in the log."""
 
 from collections.abc import Callable
 import math
@@ -17,16 +17,18 @@
 __all__ = ["Followers"]
 
 CONFIGURATION_PLACE = keyedlog.LogPlace(keyedlog.Subject.CONFIGURATION, 0)
-# A read of the configuration waits for a change during this share, at most, of
-# the time in which one has to be in force: a read that is never answered is
-# noticed only after that.
+# A long poll for the configuration lasts at most this share of the time in
+# which a new configuration has to be in force: a lost answer is noticed only
+# when the long poll times out.
 CONFIGURATION_WAIT_SHARE = 0.7
-# The same of the time in which a key that was taken away has to be without
-# effect: what a read confirms is as old as its start when the next one ends,
-# so two of them and a slow answer have to fit.
+# The same share of the time in which a revoked key has to lose its effect.  A
+# read confirms the configuration only as of the read's start, and the next
+# confirmation comes when the next read ends; so two reads and a slow answer
+# have to fit into that time.
 KEY_REMOVAL_WAIT_SHARE = 0.36
-# A VM that passes on what the log confirms reads more often: so the others
-# know it as of a second ago, and believe keys for longer when the log is away.
+# A VM that relays the log's confirmations to other VMs reads more often.  The
+# others' confirmation is then about a second old, and they can accept keys
+# for longer when the log becomes unavailable.
 COLLECTOR_WAIT_SECONDS = 0.4
 
 
@@ -36,18 +38,18 @@
     Parameters
     ==========
 
-    current : CurrentConfiguration
-        Takes what is read of the configuration.
+    current_configuration : CurrentConfiguration
+        Receives the records of the configuration.
     directory : Directory
         Holds the upstreams.
-    watch : UpstreamWatch
-        Takes what is read of the upstreams.
+    updater : DirectoryUpdater
+        Receives the records of the upstreams.
     members : callable
-        Returns the list of VMs.
+        Returns the member list of VMs.
     ask_view : callable
-        Asks other VMs for their view of a place.
+        Requests the view of a log partition from other VMs.
     is_collecting : callable
-        Returns whether this VM passes on what the log confirms.
+        Returns whether this VM relays the log's confirmations to others.
     """
 
     def __init__(
@@ -55,63 +57,65 @@
         log: keyedlog.KeyedLog,
         timers: transport.Timers,
         vm: platform.VmSettings,
-        current: configuration_module.CurrentConfiguration,
+        current_configuration: configuration_module.CurrentConfiguration,
         directory: upstreams.Directory,
-        watch: upstream_watch.UpstreamWatch,
+        updater: upstream_watch.DirectoryUpdater,
         members: Callable[[], peering.Members],
         ask_view: keyedlog.AskOthers,
         is_collecting: Callable[[], bool],
     ):
-        self._current = current
+        self._current_configuration = current_configuration
         self._members = members
-        self._bound = vm.configuration
-        self._longest_wait = _configuration_wait(vm)
+        self._configuration_bound = vm.configuration
+        self._max_wait = _max_configuration_wait(vm)
         self.configuration = keyedlog.Follower(
             log,
             timers,
             CONFIGURATION_PLACE,
-            current.take,
-            current.take,
+            current_configuration.apply_entries,
+            current_configuration.apply_entries,
             wait=lambda: min(
-                self._longest_wait,
+                self._max_wait,
                 COLLECTOR_WAIT_SECONDS if is_collecting() else math.inf,
             ),
             ask_others=ask_view,
         )
-        self._upstream_list = upstream_list.UpstreamList(
+        self._upstream_follower = upstream_list.UpstreamFollower(
             log,
             timers,
             vm.drain,
             vm.heartbeat,
             directory,
-            watch,
+            updater,
             ask_view,
             self.configuration.read_now,
         )
-        self.upstreams = self._upstream_list.follower
+        self.upstreams = self._upstream_follower.follower
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the log."""
         self.configuration.start()
-        self._upstream_list.start()
+        self._upstream_follower.start()
 
     def decision_inputs(self) -> dict:
-        """Return what decisions rest on, for the log."""
+        """Return what a decision is based on, for its log line."""
         return {
-            "configuration": self._current.version,
+            "configuration": self._current_configuration.version,
             "upstreams_age": forwarding.told_age(self.upstreams.age),
         }
 
     def routes_certainty(self) -> forwarding.Certainty:
-        """Return whether the newest configuration is known here."""
+        """Return how certain it is that this VM has the newest routes."""
         age = self.configuration.age
         doubts = forwarding.doubts_of(
-            age, self._bound, self._current.is_newest
+            age,
+            self._configuration_bound,
+            self._current_configuration.is_newest_readable,
         )
         return forwarding.Certainty(age, doubts)
 
     def view_of(self, subject: str) -> keyedlog.LogPage | None:
-        """Return what this VM knows, for one that has just started."""
+        """Return this VM's view of a subject, for a VM that just started."""
         if subject == keyedlog.Subject.CONFIGURATION.value:
             return self.configuration.view
         if subject == keyedlog.Subject.UPSTREAMS.value:
@@ -121,10 +125,10 @@
         return None
 
 
-def _configuration_wait(vm: platform.VmSettings) -> float:
+def _max_configuration_wait(vm: platform.VmSettings) -> float:
     wait = min(
         CONFIGURATION_WAIT_SHARE * vm.configuration,
-        read_budget.longest_pause(vm.configuration),
+        read_budget.max_read_pause(vm.configuration),
     )
     if vm.key_removal is None:
         return wait
--- a/postspring/front/gauges.py
+++ b/postspring/front/gauges.py
@@ -1,4 +1,4 @@
-"""What a VM shows of itself on the metrics page."""
+"""Gauges of a front VM on its metrics page."""
 
 import time
 
@@ -24,11 +24,11 @@
     Parameters
     ----------
     configuration, upstreams : Follower
-        Follow what their names say.
+        Followers of the configuration and of the upstreams.
     http : HttpClient
-        Carries the calls to upstreams.
+        Sends calls to upstreams.
     callers : HttpServer
-        Takes the calls of callers.
+        Receives callers' requests.
     """
     metrics.observe(
         "configuration_age_seconds",
--- a/postspring/front/leaving.py
+++ b/postspring/front/leaving.py
@@ -1,4 +1,4 @@
-"""Taking leave of the other VMs."""
+"""Graceful leave: removes a stopping VM from the member list."""
 
 from collections.abc import Callable
 
@@ -6,23 +6,25 @@
 from postspring import peering
 from postspring import transport
 
-__all__ = ["Leaving"]
+__all__ = ["GracefulLeave"]
 
-# How long a VM that stops waits for the log to take its leave, in seconds:
-# without it the VM counts as not heard for a while, no more.
-LEAVE_SECONDS = 1.0
+# How long a stopping VM waits until the log has recorded its leave, in
+# seconds.  Without that record the others only treat the VM as unreachable
+# for some time.
+LEAVE_TIMEOUT_SECONDS = 1.0
 
 
-class Leaving:
-    """Takes a VM off the others' list once all is recorded.
+class GracefulLeave:
+    """Removes this VM from the member list once its turns are recorded.
 
-    Whoever is not on it isn't asked before a turn is said not to exist.
+    A VM that has left is not asked before another VM answers that a turn
+    does not exist, so it must hold nothing that the log lacks.
 
     Parameters
     ==========
 
-    is_complete : callable
-        Returns whether the VM knows all that began here lately.
+    has_all_recent_turns : callable
+        Returns whether the VM's memory covers the retention of turns.
     """
 
     def __init__(
@@ -30,28 +32,30 @@
         timers: transport.Timers,
         journal: histories.Journal,
         members: peering.Members,
-        is_complete: Callable[[], bool],
+        has_all_recent_turns: Callable[[], bool],
     ):
         self._timers = timers
         self._journal = journal
         self._members = members
-        self._is_complete = is_complete
-        self._left_at: float | None = None
+        self._has_all_recent_turns = has_all_recent_turns
+        self._leave_requested_at: float | None = None
 
     @property
-    def has_begun(self) -> bool:
-        """Whether the VM has begun to take its leave."""
-        return self._left_at is not None
+    def has_started(self) -> bool:
+        """Whether the VM has begun to leave the member list."""
+        return self._leave_requested_at is not None
 
-    def go_on(self) -> bool:
-        """Leave if that may be; tell if the VM may end."""
+    def advance(self) -> bool:
+        """Leave the list if allowed; return whether the process may exit."""
         if self._journal.unrecorded:
             return False
-        if not self._is_complete():
-            # It has forgotten what it kept before: it is to be missed.
+        if not self._has_all_recent_turns():
+            # This VM may have lost turns when it restarted.  While its entry
+            # stays on the list, no other VM answers that a turn does not
+            # exist without having asked it.
             return True
         self._members.leave()
-        if self._left_at is None:
-            self._left_at = self._timers.now()
-        waited = self._timers.now() - self._left_at
-        return self._members.has_left or waited > LEAVE_SECONDS
+        if self._leave_requested_at is None:
+            self._leave_requested_at = self._timers.now()
+        waited = self._timers.now() - self._leave_requested_at
+        return self._members.has_left or waited > LEAVE_TIMEOUT_SECONDS
--- a/postspring/front/node.py
+++ b/postspring/front/node.py
@@ -1,4 +1,4 @@
-"""A front VM: everything it consists of, on one loop."""
+"""The node of a front VM: assembles all parts on one event loop."""
 
 from collections.abc import Callable
 import dataclasses
@@ -32,25 +32,26 @@
 
 LOG = logging.getLogger(__name__)
 
-# Share of the store's rate for catching up; the rest is for other turns.
+# Share of the store's append rate that may be used to catch up after an
+# outage; the rest is left for new turns.
 CATCH_UP_SHARE = 0.5
-# Calls that VMs pass on name the process that is to take them, which callers
-# can't guess.
+# Random bytes of an incarnation.  A call that another VM forwards names the
+# incarnation that is to run it, so callers must not be able to guess it.
 INCARNATION_BYTES = 8
 
 
 class FrontNode(BaseComponent):
-    """Serves callers on the users' platform.
+    """Serves callers as one entry VM of the users' platform.
 
     Parameters
     ==========
 
     vm : VmSettings
-        What the platform says of this VM.
-    own : FrontSettings
-        What operators chose.
+        Settings that the platform passes to this VM.
+    settings : FrontSettings
+        Settings that operators chose.
     on_stopped : callable
-        Called when a graceful shutdown is done.
+        Called when a graceful shutdown is complete.
     """
 
     channel = "front"
@@ -58,13 +59,13 @@
     def __init__(
         self,
         vm: platform.VmSettings,
-        own: settings_module.FrontSettings,
+        settings: settings_module.FrontSettings,
         on_stopped: Callable[[], None],
     ):
         super().__init__()
         pollers.EPoll().register(self)
         self.vm = vm
-        self.metrics = metrics_module.Metrics(bool(own.metrics_port))
+        self.metrics = metrics_module.Metrics(bool(settings.metrics_port))
         self.timers = transport.Timers().register(self)
         self._hub = transport.SocketHub(self.timers).register(self)
         self.http = transport.HttpClient(self._hub, self.timers)
@@ -74,18 +75,18 @@
         )
         self.log = peering.FailoverLog(
             self.store,
-            self._store_through,
+            self._store_via,
             lambda: self.members.nearest_first(),
             self.timers,
-            self._direct_way_changed,
+            self._on_log_path_change,
         )
         self.directory = upstreams.Directory(
-            self.timers.now, self._upstream_gone
+            self.timers.now, self._on_upstream_gone
         )
         self.configuration = configuration.CurrentConfiguration(
             platform.CONFIGURATION_KEY,
             platform.decode_snapshot,
-            self._configuration_changed,
+            self._on_configuration_change,
         )
         self.incarnation = f"{vm.vm}/{os.urandom(INCARNATION_BYTES).hex()}"
         self.journal = histories.Journal(
@@ -96,26 +97,26 @@
             sizes=histories.Sizes(vm.record_bytes, vm.call_bytes),
         )
         self._started_at = self.timers.now()
-        self._limits = transport.ServerLimits.within(vm.max_files)
-        self._follow()
-        self._listen()
-        self._join()
-        self._serve(own)
-        self.leaving = leaving.Leaving(
-            self.timers, self.journal, self.members, self._is_complete
+        self._caller_limits = transport.ServerLimits.within(vm.max_files)
+        self._create_followers()
+        self._create_servers()
+        self._create_peering()
+        self._create_forwarding(settings)
+        self.graceful_leave = leaving.GracefulLeave(
+            self.timers, self.journal, self.members, self._has_all_recent_turns
         )
         self.shutdown = shutdown.Shutdown(
             self.timers,
             self.callers,
             vm.grace,
-            self.leaving.go_on,
+            self.graceful_leave.advance,
             on_stopped,
             lambda: self.journal.unrecorded,
             self.peers,
         )
 
     def start(self) -> None:
-        """Begin to follow the log."""
+        """Start to follow the log and to exchange state with other VMs."""
         LOG.info(
             "started",
             extra={
@@ -128,17 +129,17 @@
         self.loads.start()
         self.permits.start()
         self.followers.start()
-        self.journal.hand_over_while(lambda: self.shutdown.leaving)
+        self.journal.hand_over_while(lambda: self.shutdown.is_stopping)
 
     def reconfigure(self, vm: platform.VmSettings) -> None:
-        """Take changed settings; what we listen on needs a restart."""
-        fixed = ("vm", "data_center", "callers", "readiness", "peers")
+        """Apply changed settings, except those that need a restart."""
+        restart_only = ("vm", "data_center", "callers", "readiness", "peers")
         changed = [
             field.name
             for field in dataclasses.fields(vm)
             if getattr(vm, field.name) != getattr(self.vm, field.name)
         ]
-        restart = [name for name in changed if name in fixed]
+        restart = [name for name in changed if name in restart_only]
         LOG.info(
             "settings read again",
             extra={"changed": changed, "need_restart": restart},
@@ -150,9 +151,9 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new callers should come here."""
+        """Whether the balancer should send new callers to this VM."""
         return (
-            not self.shutdown.leaving
+            not self.shutdown.is_stopping
             and not self.isolation.is_isolated
             and self.configuration.snapshot is not None
             and bool(self.directory.by_id)
@@ -161,14 +162,14 @@
 
     @property
     def _can_admit(self) -> bool:
-        """Whether callers' keys can be told here, where they need one."""
+        """Whether callers' keys can be verified, if callers need keys."""
         snapshot = self.configuration.snapshot
         return snapshot.workspaces is None or self.admission.is_confirmed
 
     # -- parts ----------------------------------------------------------------
 
-    def _follow(self) -> None:
-        watch = upstream_watch.UpstreamWatch(
+    def _create_followers(self) -> None:
+        updater = upstream_watch.DirectoryUpdater(
             self.directory,
             platform.decode_announcement,
             self.metrics.entry_refused,
@@ -179,37 +180,39 @@
             self.vm,
             self.configuration,
             self.directory,
-            watch,
+            updater,
             lambda: self.members,
-            self._ask_view,
+            self._request_view,
             lambda: self.loads.is_collecting,
         )
 
-    def _listen(self) -> None:
-        limits = transport.ServerLimits()
-        report = callers_report.CallersReport(
+    def _create_servers(self) -> None:
+        default_limits = transport.ServerLimits()
+        reporter = callers_report.ConnectionReporter(
             self.metrics, platform.PlatformWireFormat()
         )
         self.callers = transport.HttpServer(
             self.timers,
             lambda call: self.forwarder.handle(call),
-            self._limits,
-            report.unreadable,
-            report.cut,
+            self._caller_limits,
+            reporter.report_unreadable,
+            reporter.report_cut,
         )
         self.callers.listen(self, self.vm.callers, "callers")
         self.readiness = transport.HttpServer(
-            self.timers, self._answer_readiness, limits
+            self.timers, self._answer_readiness, default_limits
         )
         self.readiness.listen(self, self.vm.readiness, "readiness")
         self.peers = transport.HttpServer(
-            self.timers, lambda call: self._peer_service.handle(call), limits
+            self.timers,
+            lambda call: self._peer_service.handle(call),
+            default_limits,
         )
         self.peers.listen(self, self.vm.peers, "peers")
 
-    def _join(self) -> None:
-        """Find the other VMs, and be found by them."""
-        own = peering.Member(
+    def _create_peering(self) -> None:
+        """Create the parts that find other VMs and exchange state."""
+        this_vm = peering.Member(
             self.vm.vm,
             self.incarnation,
             self.vm.data_center,
@@ -219,9 +222,9 @@
         self.members = peering.Members(
             self.log,
             self.timers,
-            own,
+            this_vm,
             self.vm.seeds,
-            self._ask_view,
+            self._request_view,
         )
         promises = peering.Promises(self.vm.vm, self.timers.now)
         self.isolation = peering.Isolation(
@@ -235,7 +238,7 @@
             self._peer_http,
             self.members,
             promises,
-            self._is_complete,
+            self._has_all_recent_turns,
             self.isolation,
             self.timers,
         )
@@ -251,7 +254,7 @@
             self._peer_http,
             self.timers,
             self.members,
-            self._workspace,
+            self._find_workspace,
             self.vm.data_centers,
             self.vm.limit_span,
             lambda: self.shutdown.takes_work,
@@ -260,10 +263,10 @@
             self.journal,
             self.store.pass_on,
             promises,
-            self._is_complete,
+            self._has_all_recent_turns,
             self.followers.view_of,
             self.members.introduce,
-            takes_copies=lambda: not self.shutdown.leaving,
+            takes_copies=lambda: not self.shutdown.is_stopping,
             is_direct=lambda: self.log.is_direct,
             reaches_log=lambda: self.log.reaches_log,
             takes_work=lambda: self.shutdown.takes_work,
@@ -271,7 +274,9 @@
             permit=self.permits.answer,
         )
 
-    def _serve(self, own: settings_module.FrontSettings) -> None:
+    def _create_forwarding(
+        self, settings: settings_module.FrontSettings
+    ) -> None:
         wire = platform.PlatformWireFormat()
         self.admission = forwarding.Admission(
             wire,
@@ -283,11 +288,11 @@
             self.http,
             self.timers,
             self.directory,
-            scheduling.placement_by_name[own.placement](),
+            scheduling.placement_by_name[settings.placement](),
             wire,
             self.metrics,
             self.vm.data_center,
-            urgency=scheduling.urgency_by_name[own.urgency](),
+            urgency=scheduling.urgency_by_name[settings.urgency](),
         )
         self.forwarder = forwarding.Forwarder(
             dispatcher,
@@ -300,12 +305,12 @@
             self.admission,
             self.permits,
         )
-        if own.metrics_port:
-            page = transport.HttpServer(
+        if settings.metrics_port:
+            metrics_server = transport.HttpServer(
                 self.timers, self._answer_metrics, transport.ServerLimits()
             )
-            bind = (self.vm.callers[0], own.metrics_port)
-            page.listen(self, bind, "metrics")
+            bind = (self.vm.callers[0], settings.metrics_port)
+            metrics_server.listen(self, bind, "metrics")
         gauges.observe_vm(
             self.metrics,
             self.followers.configuration,
@@ -318,30 +323,30 @@
 
     # -- events ---------------------------------------------------------------
 
-    def _configuration_changed(self, snapshot: routing.Snapshot) -> None:
-        self._limits.header_bytes = snapshot.limits.header_bytes
-        self._limits.body_bytes = snapshot.limits.body_bytes
-        self._limits.header_seconds = snapshot.limits.header_seconds
-        self._limits.idle_seconds = snapshot.limits.idle_seconds
+    def _on_configuration_change(self, snapshot: routing.Snapshot) -> None:
+        self._caller_limits.header_bytes = snapshot.limits.header_bytes
+        self._caller_limits.body_bytes = snapshot.limits.body_bytes
+        self._caller_limits.header_seconds = snapshot.limits.header_seconds
+        self._caller_limits.idle_seconds = snapshot.limits.idle_seconds
 
-    def _workspace(self, name: str) -> workspaces.Workspace | None:
+    def _find_workspace(self, name: str) -> workspaces.Workspace | None:
         snapshot = self.configuration.snapshot
         if snapshot is None or snapshot.workspaces is None:
             return None
         return snapshot.workspaces.by_name.get(workspaces.WorkspaceName(name))
 
-    def _is_complete(self) -> bool:
-        """Whether this VM knows all that began here lately."""
+    def _has_all_recent_turns(self) -> bool:
+        """Return whether this VM's memory covers the retention of turns."""
         snapshot = self.configuration.snapshot
         retention = 0.0 if snapshot is None else snapshot.longest_retention
-        return completeness.is_complete(
+        return completeness.has_all_recent_turns(
             self.vm.first_start and self.members.is_first,
             self.timers.now() - self._started_at,
             self.members.listed_seconds,
             retention,
         )
 
-    def _store_through(self, member: peering.Member) -> platform.Store:
+    def _store_via(self, member: peering.Member) -> platform.Store:
         return platform.Store(
             self._peer_http,
             member.peers,
@@ -350,9 +355,11 @@
         )
 
     def _catch_up_rate(self) -> float:
-        """This VM's share of half of what the store takes; appends/s.
+        """Return this VM's part of the store's catch-up rate in appends/s.
 
-        After a cut only those behind it catch up; else 1.9 s were too short.
+        After a network partition only the VMs of the isolated data centre
+        have appends to catch up on, so only they share the rate.  When all VMs
+        shared it, 1.9 s were too short to catch up.
         """
         members = self.members
         sharers = members.sharers
@@ -360,16 +367,20 @@
             sharers = members.sharers_here
         return CATCH_UP_SHARE * self.vm.store_writes / sharers
 
-    def _direct_way_changed(self) -> None:
-        """A read that waits for a change may hang on the way that is lost."""
+    def _on_log_path_change(self) -> None:
+        """Restart the configuration's long poll, which may hang.
+
+        It may have been sent on a path to the log that is lost now.  If the
+        log answers again, also resume what waited for it.
+        """
         self.followers.configuration.read_now()
         if not self.log.is_down:
             self.journal.log_is_back()
 
-    def _ask_view(self, place, on_page) -> None:
+    def _request_view(self, place, on_page) -> None:
         self.peer_client.ask_view(place, on_page)
 
-    def _upstream_gone(self, upstream: upstreams.Upstream) -> None:
+    def _on_upstream_gone(self, upstream: upstreams.Upstream) -> None:
         self.http.discard(upstream.address)
 
     def _answer_readiness(self, call: transport.IncomingCall) -> None:
--- a/postspring/front/read_budget.py
+++ b/postspring/front/read_budget.py
@@ -1,34 +1,35 @@
-"""How a bound on what is known is shared among the reads of the log.
+"""Derives the longest pause between log reads from a staleness bound.
 
-A record is known after the pause between two reads, or the wait of one that
-waits, then the reads that are never answered, then the answer.
+In the worst case a VM learns of a new record after the pause between two
+reads (or the wait of a long poll), the time-outs of the reads whose answers
+are lost, and the delay of the answer that arrives.
 """
 
 from postspring.peering import failover
 
-__all__ = ["longest_pause"]
+__all__ = ["max_read_pause"]
 
-# Reads in a row that may go unanswered while the bound is kept.
-LOST_READS = 2
-# An answer of the log while it is slow, with the loop's own delay.
-ANSWER_SECONDS = 0.3
-SHORTEST_PAUSE_SECONDS = 0.1
+# Consecutive lost answers that the bound has to tolerate.
+TOLERATED_LOST_READS = 2
+# Delay of an answer while the log is slow, with the event loop's own delay.
+SLOW_ANSWER_SECONDS = 0.3
+MIN_PAUSE_SECONDS = 0.1
 
 
-def longest_pause(bound: float) -> float:
-    """Return for how long a VM may not look, or wait, for a record.
+def max_read_pause(bound: float) -> float:
+    """Return the longest pause between reads, or wait of a long poll.
 
     Parameters
     ----------
     bound : float
-        Seconds in which a record has to have its effect.
+        Seconds in which a record has to take effect.
 
     Examples
     --------
-    >>> round(longest_pause(2.0), 2)
+    >>> round(max_read_pause(2.0), 2)
     1.1
-    >>> longest_pause(0.5)
+    >>> max_read_pause(0.5)
     0.1
     """
-    lost = LOST_READS * failover.HEDGE_SECONDS
-    return max(SHORTEST_PAUSE_SECONDS, bound - lost - ANSWER_SECONDS)
+    lost_seconds = TOLERATED_LOST_READS * failover.HEDGE_SECONDS
+    return max(MIN_PAUSE_SECONDS, bound - lost_seconds - SLOW_ANSWER_SECONDS)
--- a/postspring/front/settings.py
+++ b/postspring/front/settings.py
@@ -1,4 +1,4 @@
-"""Settings of our own for a front VM: flags and environment variables."""
+"""Operator settings of a front VM, from flags and environment variables."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -12,21 +12,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FrontSettings:
-    """What operators may choose for a front VM.
+    """Settings that operators may choose for a front VM.
 
     Parameters
     ==========
 
     placement : str
-        Name of the placement policy for turns and other calls.
+        Name of the policy that chooses an upstream for each call.
     urgency : str
-        Name of the policy by which upstreams admit calls: ``none``, ``rank``.
+        Name of the policy that sets the urgency sent to upstreams with each
+        call: ``none`` or ``rank``.
     log_level : str
         ``debug``, ``info``, ``warning`` or ``error``.
     log_lines_per_second : float
-        Lines beyond this are dropped and counted.
+        Rate limit of the log; further lines are dropped and counted.
     metrics_port : int
-        Port of the metrics page; 0 for none.
+        Port of the metrics page; 0 disables it.
     """
 
     placement: str = "shared_affinity"
@@ -39,12 +40,13 @@
 def load_front_settings(
     flags: Mapping[str, str], environment: Mapping[str, str]
 ) -> FrontSettings:
-    """Return the settings; a flag goes before an environment variable.
+    """Return the settings; a flag overrides an environment variable.
 
     Raises
     ------
     SettingsError
-        Naming every unknown flag and every value of the wrong type.
+        If a flag is unknown or a value has the wrong type; the message
+        names all of them.
 
     Examples
     --------
@@ -52,12 +54,12 @@
     'random'
     """
     values = {}
-    faults = []
+    problems = []
     fields = {field.name: field for field in dataclasses.fields(FrontSettings)}
     for name in flags:
         if name not in fields:
             known = ", ".join(sorted(fields))
-            faults.append(f"--{name} is unknown; there are: {known}")
+            problems.append(f"--{name} is unknown; there are: {known}")
     for name, field in fields.items():
         text = flags.get(name, environment.get(PREFIX + name.upper()))
         if text is None:
@@ -65,8 +67,8 @@
         try:
             values[name] = type(field.default)(text)
         except ValueError:
-            wanted = type(field.default).__name__
-            faults.append(f"{name}: {text!r} is not of type {wanted}")
-    if faults:
-        raise errors.SettingsError("; ".join(faults))
+            expected = type(field.default).__name__
+            problems.append(f"{name}: {text!r} is not of type {expected}")
+    if problems:
+        raise errors.SettingsError("; ".join(problems))
     return FrontSettings(**values)
--- a/postspring/front/shutdown.py
+++ b/postspring/front/shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: out of the balancer's rotation, then done.
+"""Graceful shutdown: leaves the balancer's rotation, drains, then exits.
 
-A stop goes through the phases of :class:`Phase` one after the other, at most
-one each time it is looked at, so that the sockets are read in between.
+A shutdown passes through the members of :class:`Phase` in order.  Each check
+enters at most one new phase, so that the loop reads the sockets in between.
 """
 
 from collections.abc import Callable
@@ -14,55 +14,59 @@
 
 LOG = logging.getLogger(__name__)
 
-# The balancer asks once a second and needs two refusals; new connections
-# may come until then, in seconds.
+# The balancer probes readiness once a second and stops sending connections
+# after two refusals; new connections may arrive until then.  In seconds.
 ROTATION_SECONDS = 3.0
 CHECK_SECONDS = 0.1
-# Before the platform's SIGKILL, in seconds: when what is still open gets its
-# final answer, so that it can leave, and when we end whatever is owed.
+# Seconds before the platform's SIGKILL: when open requests are answered, early
+# enough for the answers to be sent, and when the process exits regardless.
 ANSWER_MARGIN_SECONDS = 0.6
-MARGIN_SECONDS = 0.15
+EXIT_MARGIN_SECONDS = 0.15
 
 
 class Phase(enum.Enum):
-    """How far a stop is.
+    """Progress of a shutdown.
 
     Explanation
     ===========
 
-    In ``ROTATION`` callers still come, and are served.  ``DRAINING`` listens
-    no more, as a VM that is not ready still gets connections while most VMs
-    of its data centre are not: refused at once, callers find another one,
-    where a refusal of each request used their retries up.  What had come by
-    then, and what comes on kept connections, is answered, as not run if it
-    is new.  ``OUT_OF_TIME`` is for what is still open at the end of the
-    grace.
+    In ``LEAVING_ROTATION`` new connections are still accepted and served.
+    In ``DRAINING`` the VM stops listening, because the balancer also sends
+    connections to VMs that are not ready while most VMs of a data centre are
+    not.  A caller whose connection is refused finds another VM at once;
+    refusing each request instead used up the callers' retries.  Requests
+    that had arrived by then, or arrive on open connections, are answered;
+    new ones as not run.  In ``FORCED_ANSWERS``, shortly before the end of
+    the grace period, all requests that are still open get a final answer.
     """
 
     SERVING = "serving"
-    ROTATION = "rotation"
+    LEAVING_ROTATION = "rotation"
     DRAINING = "draining"
-    OUT_OF_TIME = "out_of_time"
+    FORCED_ANSWERS = "out_of_time"
     ENDED = "ended"
 
 
 class Shutdown:
-    """Ends a VM's service without cutting a request.
+    """Stops serving callers without breaking off a request.
 
     Parameters
     ==========
 
     grace : float
         Seconds from the signal to the platform's SIGKILL.
-    is_recorded : callable
-        Returns whether all that was answered stands in the log.
+    may_exit : callable
+        Called until it returns true, once all connections are closed; returns
+        whether everything that was answered is recorded and the VM has left
+        the member list.
     on_stopped : callable
-        Called when nothing is owed any more, or the grace is over.
+        Called when everything is drained, or the grace period is over.
     count_unrecorded : callable
-        Returns how many records are not in the log, for the last line.
+        Returns the number of records that the log lacks, for the final log
+        line.
     peers : HttpServer, optional
-        What it answers other VMs leaves before the end; what they still ask
-        they ask elsewhere.
+        Server for the other VMs: its answers are sent before the process
+        exits; their later requests go to other VMs.
     """
 
     def __init__(
@@ -70,60 +74,63 @@
         timers: transport.Timers,
         callers: transport.HttpServer,
         grace: float,
-        is_recorded: Callable[[], bool],
+        may_exit: Callable[[], bool],
         on_stopped: Callable[[], None],
         count_unrecorded: Callable[[], int] = lambda: 0,
         peers: transport.HttpServer | None = None,
     ):
         self._peers = peers
-        self._is_recorded = is_recorded
+        self._may_exit = may_exit
         self._count_unrecorded = count_unrecorded
         self._timers = timers
         self._callers = callers
         self.grace = grace
         self._on_stopped = on_stopped
-        self._began = 0.0
+        self._began_at = 0.0
         self.phase = Phase.SERVING
 
     @property
-    def leaving(self) -> bool:
-        """Whether the stop has begun."""
+    def is_stopping(self) -> bool:
+        """Whether the shutdown has begun."""
         return self.phase is not Phase.SERVING
 
     @property
     def takes_work(self) -> bool:
-        """Whether a request that comes now would be finished in time.
+        """Whether the VM still runs requests that arrive now.
 
-        A caller whose connection was kept past the rotation is better off
-        elsewhere: its request has not run, and it is told so.
+        After the rotation period, a request on a connection that stayed open
+        is refused as not run, and its caller retries at another VM.
         """
-        if not self.leaving:
+        if not self.is_stopping:
             return True
         return self._elapsed < ROTATION_SECONDS
 
     def begin(self) -> None:
-        """Say not ready, serve on, and end when all is answered."""
-        if self.leaving:
+        """Report not ready, keep serving, and exit once drained."""
+        if self.is_stopping:
             return
         LOG.info("stopping", extra={"active": self._callers.active})
-        self.phase = Phase.ROTATION
+        self.phase = Phase.LEAVING_ROTATION
         self._callers.closing = True
-        self._began = self._timers.now()
+        self._began_at = self._timers.now()
         self._timers.call_every(CHECK_SECONDS, self._check)
 
     @property
     def _elapsed(self) -> float:
-        return self._timers.now() - self._began
+        return self._timers.now() - self._began_at
 
     def _check(self) -> None:
         if self.phase is Phase.ENDED:
             return
-        left = self.grace - self._elapsed
-        if left < MARGIN_SECONDS and self.phase is Phase.OUT_OF_TIME:
+        remaining = self.grace - self._elapsed
+        if (
+            remaining < EXIT_MARGIN_SECONDS
+            and self.phase is Phase.FORCED_ANSWERS
+        ):
             self._end()
-        elif left < ANSWER_MARGIN_SECONDS:
-            self._answer_now()
-        elif self.phase is Phase.ROTATION:
+        elif remaining < ANSWER_MARGIN_SECONDS:
+            self._answer_open_requests()
+        elif self.phase is Phase.LEAVING_ROTATION:
             if self._elapsed > ROTATION_SECONDS:
                 self.phase = Phase.DRAINING
                 self._callers.refuse_new()
@@ -132,47 +139,49 @@
             self._drain()
 
     def _drain(self) -> None:
-        """End once every connection has: with that nothing is owed.
+        """Finish once every connection is closed and the VM may exit.
 
-        "No request is under way" left out what the kernel held unread and
-        what callers had not taken yet of their answers.
+        Waiting only for the requests in progress missed bytes that the
+        kernel held unread, and answers that callers had not yet received.
         """
         self._callers.close_idle()
-        if self._owes_nothing:
+        if self._is_drained:
             self._end()
 
-    def _answer_now(self) -> None:
-        """Have what is open answered, so that the answers can leave."""
-        if self.phase is not Phase.OUT_OF_TIME:
-            self.phase = Phase.OUT_OF_TIME
-            LOG.warning("out of time", extra=self._owed())
+    def _answer_open_requests(self) -> None:
+        """Answer all open requests now, so that the answers can be sent."""
+        if self.phase is not Phase.FORCED_ANSWERS:
+            self.phase = Phase.FORCED_ANSWERS
+            LOG.warning(
+                "grace period is ending", extra=self._remaining_counts()
+            )
             self._callers.refuse_new()
         self._callers.give_up()
         self._callers.close_idle()
-        if self._owes_nothing:
+        if self._is_drained:
             self._end()
 
     @property
-    def _owes_nothing(self) -> bool:
+    def _is_drained(self) -> bool:
         return (
             not self._callers.connection_count
             and (self._peers is None or not self._peers.unsent_bytes)
-            and self._is_recorded()
+            and self._may_exit()
         )
 
     def _end(self) -> None:
         self.phase = Phase.ENDED
-        owed = self._owed()
-        is_clean = not any(owed.values())
+        remaining = self._remaining_counts()
+        is_clean = not any(remaining.values())
         LOG.log(
             logging.INFO if is_clean else logging.WARNING,
             "stopped",
-            extra={**owed, "seconds": round(self._elapsed, 2)},
+            extra={**remaining, "seconds": round(self._elapsed, 2)},
         )
         self._callers.close_all()
         self._on_stopped()
 
-    def _owed(self) -> dict[str, int]:
+    def _remaining_counts(self) -> dict[str, int]:
         return {
             "active": self._callers.active,
             "connections": self._callers.connection_count,
--- a/postspring/front/tests/test_absence.py
+++ b/postspring/front/tests/test_absence.py
@@ -161,11 +161,11 @@
         leaving = self.there[0]
         self.assertIsInstance(leaving, node_module.FrontNode)
         leaving.journal._held_by_ref[TURN] = mock.Mock()
-        self.assertFalse(leaving.leaving.go_on())
+        self.assertFalse(leaving.graceful_leave.advance())
         self.fleet.turn_for(0.5)
         self.assertIn("there-1", others(self.here))
         del leaving.journal._held_by_ref[TURN]
-        self.fleet.turn_until(leaving.leaving.go_on)
+        self.fleet.turn_until(leaving.graceful_leave.advance)
         self.fleet.turn_until(lambda: "there-1" not in others(self.here))
 
 
@@ -183,12 +183,12 @@
 
     def assert_waits(self):
         """The VM waits until the log has the turn's tokens."""
-        self.assertFalse(self.here.leaving.go_on())
+        self.assertFalse(self.here.graceful_leave.advance())
         self.fleet.turn_for(0.5)
-        self.assertFalse(self.here.leaving.go_on())
-        self.assertFalse(self.here.leaving.has_begun)
+        self.assertFalse(self.here.graceful_leave.advance())
+        self.assertFalse(self.here.graceful_leave.has_started)
         self.fleet.store.refuse = 0
-        self.fleet.turn_until(self.here.leaving.go_on)
+        self.fleet.turn_until(self.here.graceful_leave.advance)
         self.assertEqual(4, self.here.journal.charged("p1"))
 
     def test_tokens_of_a_home_are_recorded_first(self):
@@ -215,7 +215,7 @@
         self.meet()
         restarted = self.there[0]
         restarted.vm = dataclasses.replace(restarted.vm, first_start=False)
-        self.fleet.turn_until(restarted.leaving.go_on)
+        self.fleet.turn_until(restarted.graceful_leave.advance)
         self.fleet.turn_for(0.5)
         self.assertIn("there-1", others(self.here))
         self.assertEqual(503, self.go_on_here())
@@ -343,6 +343,6 @@
         self.start_there()
         self.meet()
         for node in self.there:
-            self.fleet.turn_until(node.leaving.go_on)
+            self.fleet.turn_until(node.graceful_leave.advance)
         self.fleet.turn_until(lambda: not others(self.here))
         self.assertEqual(404, self.go_on_here())
--- a/postspring/front/tests/test_callers_report.py
+++ b/postspring/front/tests/test_callers_report.py
@@ -4,7 +4,7 @@
 from postspring.testing.fleet import case
 
 
-class CallersReportTest(case.FleetCase):
+class ConnectionReporterTest(case.FleetCase):
     """One line and one count, with the request's id."""
 
     def test_a_caller_that_leaves_with_its_request_open(self):
@@ -20,7 +20,10 @@
             caller.close()
             self.fleet.turn_until(lambda: lines.records)
         record = lines.records[0]
-        self.assertEqual("connection cut", record.getMessage())
+        self.assertEqual(
+            "connection closed before its answer was delivered",
+            record.getMessage(),
+        )
         self.assertEqual("request-1", record.request)
         self.assertEqual("caller", record.ended_by)
         self.assertEqual(0, record.unsent)
--- a/postspring/front/tests/test_changes.py
+++ b/postspring/front/tests/test_changes.py
@@ -118,7 +118,7 @@
         self.fleet.call("GET", "/safe/x", "r", caller=caller)
         node = self.fleet.nodes[0]
         node.shutdown.begin()
-        node.shutdown._began -= 4.0
+        node.shutdown._began_at -= 4.0
         fields = {"program_id": "p", "token_usage": "1,16"}
         headers = self.fleet.headers("a", fields)
         caller.send("POST", "/stream/x", headers, b"x")
--- a/postspring/front/tests/test_entries.py
+++ b/postspring/front/tests/test_entries.py
@@ -11,13 +11,13 @@
 from postspring import upstreams
 
 
-class UpstreamWatchTest(unittest.TestCase):
+class DirectoryUpdaterTest(unittest.TestCase):
     """Entries on their way into the directory."""
 
     def setUp(self):
         self.directory = upstreams.Directory(lambda: 0.0)
         self.refused = 0
-        self.watch = upstream_watch.UpstreamWatch(
+        self.updater = upstream_watch.DirectoryUpdater(
             self.directory, self.decode, self.count
         )
 
@@ -34,7 +34,9 @@
 
     def take(self, *pairs):
         """Take entries."""
-        self.watch.take([keyedlog.LogEntry(*pair) for pair in pairs])
+        self.updater.apply_entries(
+            [keyedlog.LogEntry(*pair) for pair in pairs]
+        )
 
     def usable(self):
         """Return the ids of the upstreams that may get work."""
@@ -50,7 +52,9 @@
     def test_a_whole_list_with_a_spoilt_one(self):
         self.take(("a", b"good"), ("b", b"good"))
         entries = [("a", b"bad"), ("b", b"good"), ("c", b"bad")]
-        self.watch.reset([keyedlog.LogEntry(*pair) for pair in entries])
+        self.updater.replace_entries(
+            [keyedlog.LogEntry(*pair) for pair in entries]
+        )
         self.assertEqual(["b"], self.usable())
         self.assertIn("a", self.directory.by_id)
 
@@ -65,7 +69,7 @@
         with self.assertLogs("postspring.front", "ERROR") as logs:
             for number in range(3000):
                 self.take((f"x{number}", b"bad"))
-        self.assertEqual(upstream_watch.MOST_UNREADABLE, len(logs.output))
+        self.assertEqual(upstream_watch.MAX_UNREADABLE_IDS, len(logs.output))
 
 
 class SpoiltEntryTest(case.FleetCase):
--- a/postspring/front/tests/test_leaving_upstreams.py
+++ b/postspring/front/tests/test_leaving_upstreams.py
@@ -24,7 +24,7 @@
 STEP_SECONDS = 0.05
 # What an upstream needs at most to write its entry again, by the platform's
 # page.
-BACK_SECONDS = 2.0
+REANNOUNCE_SECONDS = 2.0
 
 
 def decode(name, value):
@@ -55,13 +55,13 @@
         self.log = memory_log.MemoryLog(self.data, self.timers)
         self.log.faults.gives_up_after = 1.2
         self.directory = upstreams.Directory(self.timers.now)
-        self.list = upstream_list.UpstreamList(
+        self.list = upstream_list.UpstreamFollower(
             self.way_to(self.log),
             self.timers,
             self.drain,
             1.2,
             self.directory,
-            upstream_watch.UpstreamWatch(self.directory, decode),
+            upstream_watch.DirectoryUpdater(self.directory, decode),
             lambda place, on_page: None,
         )
         self.write("a", b"ready")
@@ -180,7 +180,7 @@
     longest_unused = (
         failover.PROBE_SECONDS
         + follower.RETRY_SECONDS
-        + upstream_list.RETURN_PACE_SECONDS
+        + upstream_list.RECOVERY_READ_INTERVAL_SECONDS
     )
 
     def test_it_is_used_until_it_can_be_back(self):
@@ -191,7 +191,7 @@
             self.go_away(6.0)
             unused = 0.0
             for step in range(round(4.0 / STEP_SECONDS)):
-                if step == round(BACK_SECONDS / STEP_SECONDS):
+                if step == round(REANNOUNCE_SECONDS / STEP_SECONDS):
                     self.write("a", b"ready")
                 self.clock.run_for(STEP_SECONDS)
                 if "a" not in self.usable:
--- a/postspring/front/tests/test_lost_reads.py
+++ b/postspring/front/tests/test_lost_reads.py
@@ -137,7 +137,7 @@
             vm,
             current,
             self.directory,
-            upstream_watch.UpstreamWatch(self.directory, decode_upstream),
+            upstream_watch.DirectoryUpdater(self.directory, decode_upstream),
             lambda: None,
             lambda place, on_page: None,
             lambda: False,
--- a/postspring/front/tests/test_out_of_time.py
+++ b/postspring/front/tests/test_out_of_time.py
@@ -27,7 +27,7 @@
     def run_out(self):
         """Let the grace come to its end; return what the caller has."""
         self.node.shutdown.begin()
-        self.node.shutdown._began -= GRACE_USED_SECONDS
+        self.node.shutdown._began_at -= GRACE_USED_SECONDS
         with self.assertLogs("postspring.calls", "INFO") as lines:
             self.fleet.turn_until(lambda: self.caller.answer.settled)
         self.lines = lines.records
@@ -99,6 +99,6 @@
         )
         self.assertFalse(caller.answer.settled)
         node.shutdown.begin()
-        node.shutdown._began -= GRACE_USED_SECONDS
+        node.shutdown._began_at -= GRACE_USED_SECONDS
         self.fleet.turn_until(lambda: caller.answer.settled)
         self.assertTrue(caller.answer.whole)
--- a/postspring/front/tests/test_premises.py
+++ b/postspring/front/tests/test_premises.py
@@ -52,9 +52,9 @@
         late = self.fleet.start_vm("late")
         late.vm = dataclasses.replace(late.vm, first_start=False)
         late._started_at -= 100.0
-        self.assertFalse(late._is_complete())
+        self.assertFalse(late._has_all_recent_turns())
         self.fleet.store.refuse = 0
         self.fleet.turn_until(lambda: late.members.is_announced)
-        self.assertFalse(late._is_complete())
-        with mock.patch.object(completeness, "LISTED_SECONDS", 0.2):
-            self.fleet.turn_until(late._is_complete)
+        self.assertFalse(late._has_all_recent_turns())
+        with mock.patch.object(completeness, "MIN_LISTED_SECONDS", 0.2):
+            self.fleet.turn_until(late._has_all_recent_turns)
--- a/postspring/front/tests/test_shutdown.py
+++ b/postspring/front/tests/test_shutdown.py
@@ -132,7 +132,7 @@
         caller = self.edge.connect()
         self.edge.ask(caller)
         self.edge.turn_until(lambda: self.edge.calls)
-        self.assertEqual(1, self.stop()["out of time"].active)
+        self.assertEqual(1, self.stop()["grace period is ending"].active)
         self.assertEqual(502, caller.answer.status)
         self.assertTrue(caller.answer.whole)
 
--- a/postspring/front/upstream_list.py
+++ b/postspring/front/upstream_list.py
@@ -1,4 +1,4 @@
-"""The upstreams that a VM may use, kept up to date from the log."""
+"""Follows the upstreams' entries in the log at a bounded delay."""
 
 from collections.abc import Callable
 
@@ -8,37 +8,40 @@
 from postspring import transport
 from postspring import upstreams
 
-__all__ = ["UpstreamList"]
+__all__ = ["UpstreamFollower"]
 
 UPSTREAMS_PLACE = keyedlog.LogPlace(keyedlog.Subject.UPSTREAMS, 0)
-# Upstreams write every heartbeat; they are read once in this share of the
-# time in which a leaving one has to be left alone.
-PACE_SHARE = 0.45
+# Every upstream writes an entry each heartbeat, so the partition is polled at
+# an interval: at most this share of the time in which a leaving upstream has
+# to stop getting work.
+READ_INTERVAL_SHARE = 0.45
 MISSING_SWEEP_SECONDS = 0.5
-# The entry of an upstream that lives is back this long after the log's
-# return, by the platform's page.
-BACK_SECONDS = 2.0
-# How often the list is read until then, in seconds.
-RETURN_PACE_SECONDS = 0.25
-# An entry lapses after three heartbeats of silence, the first of which may
-# lie before the outage.
+# A running upstream rewrites its entry within this time after the log is
+# available again, according to the platform's page.  In seconds.
+REANNOUNCE_SECONDS = 2.0
+# Interval of reads until then, in seconds.
+RECOVERY_READ_INTERVAL_SECONDS = 0.25
+# An entry lapses after three missed heartbeats, the first of which may have
+# been before the outage.
 HEARTBEATS_TO_LAPSE = 2
 
 
-class UpstreamList:
-    """Feeds the directory of upstreams from the log.
+class UpstreamFollower:
+    """Keeps the directory of upstreams up to date from the log.
 
     Parameters
     ==========
 
     drain : float
-        Within this time a leaving upstream gets no more work; seconds.
+        Seconds after which a leaving upstream has to get no more work.
     heartbeat : float
-        How often upstreams write their entries; seconds.
+        Seconds between two entries that an upstream writes.
+    updater : DirectoryUpdater
+        Applies the entries to the directory.
     ask_others : callable
-        Asks other VMs for their view of a place.
+        Requests the view of a log partition from other VMs.
     on_regained : callable
-        Told when the log answers again.
+        Called when the log answers again.
     """
 
     def __init__(
@@ -48,7 +51,7 @@
         drain: float,
         heartbeat: float,
         directory: upstreams.Directory,
-        watch: upstream_watch.UpstreamWatch,
+        updater: upstream_watch.DirectoryUpdater,
         ask_others: keyedlog.AskOthers,
         on_regained: Callable[[], None] = lambda: None,
     ):
@@ -56,42 +59,46 @@
         self._directory = directory
         self._drain = drain
         self._heartbeat = heartbeat
-        self._quick_until = 0.0
+        self._frequent_reads_until = 0.0
         self._on_regained = on_regained
         self.follower = keyedlog.Follower(
             log,
             timers,
             UPSTREAMS_PLACE,
-            watch.reset,
-            watch.take,
-            pace=self._pace,
-            on_regained=self._regained,
+            updater.replace_entries,
+            updater.apply_entries,
+            pace=self._read_interval,
+            on_regained=self._on_log_regained,
             ask_others=ask_others,
         )
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the log."""
         self.follower.start()
         self._timers.call_every(
             MISSING_SWEEP_SECONDS, self._directory.drop_missing
         )
 
-    def _pace(self) -> float:
-        pace = min(
-            PACE_SHARE * self._drain, read_budget.longest_pause(self._drain)
+    def _read_interval(self) -> float:
+        interval = min(
+            READ_INTERVAL_SHARE * self._drain,
+            read_budget.max_read_pause(self._drain),
         )
-        if self._timers.now() < self._quick_until:
-            return min(pace, RETURN_PACE_SECONDS)
-        return pace
+        if self._timers.now() < self._frequent_reads_until:
+            return min(interval, RECOVERY_READ_INTERVAL_SECONDS)
+        return interval
 
-    def _regained(self, outage: keyedlog.Outage) -> None:
-        """Let upstreams whose entries lapsed in an outage get work for now.
+    def _on_log_regained(self, outage: keyedlog.Outage) -> None:
+        """Tolerate for a while that entries have lapsed during an outage.
 
-        One that left meanwhile looks the same, and its leaving may have been
-        acknowledged as soon as the log was back: the bound counts from there.
+        An upstream that left during the outage looks the same, and the log
+        may have acknowledged its leave as soon as it was available again; so
+        the tolerance is bounded from the earliest such moment.
         """
         if outage.longest >= HEARTBEATS_TO_LAPSE * self._heartbeat:
-            seconds = min(BACK_SECONDS, self._drain)
+            seconds = min(REANNOUNCE_SECONDS, self._drain)
             self._directory.tolerate_missing(outage.away_at + seconds)
-            self._quick_until = outage.regained_at + BACK_SECONDS
+            self._frequent_reads_until = (
+                outage.regained_at + REANNOUNCE_SECONDS
+            )
         self._on_regained()
