--- a/postspring/front/tests/test_changes.py
+++ b/postspring/front/tests/test_changes.py
@@ -1,13 +1,13 @@
-"""Configuration, leaving upstreams, shutdown."""
+"""Changes of the configuration, leaving upstreams, and shutdown."""
 
 from postspring.testing.fleet import case
 from postspring.testing.fleet import fleet as fleet_module
 
 
 class ConfigurationTest(case.FleetCase):
-    """A new configuration is in force at once, and never goes back."""
+    """New configurations take effect at once; versions never decrease."""
 
-    def test_a_route_that_was_dropped(self):
+    def test_removed_route_is_not_found(self):
         configuration = fleet_module.default_configuration(5)
         del configuration["routes"][0]
         self.fleet.configure(configuration)
@@ -15,7 +15,7 @@
         self.fleet.turn_until(lambda: node.configuration.version == 5)
         self.assertEqual(404, self.fleet.call("GET", "/safe/x", "r").status)
 
-    def test_a_lower_version_changes_nothing(self):
+    def test_lower_version_is_ignored(self):
         self.fleet.configure(fleet_module.default_configuration(5))
         node = self.fleet.nodes[0]
         self.fleet.turn_until(lambda: node.configuration.version == 5)
@@ -26,54 +26,54 @@
 
 
 class UnknownRouteTest(case.FleetCase):
-    """That there is no such route is said only by who can know.
+    """A VM answers 404 only if its configuration is certainly the newest.
 
-    Seen: hosts and routes that every configuration in force had were
-    answered 404 while the store turned VMs away.  A VM that knew none took
-    its own configuration, however old, for the newest.  The configuration
-    has to be in force within 2 s here.
+    While the store refused VMs, they answered 404 for hosts and routes that
+    every configuration in force had, because a VM took its configuration for
+    the newest however old it was.  Here a configuration has to be in force
+    within 2 s.
     """
 
-    def ask(self, vm=0):
-        """Ask for a route that this VM does not know."""
+    def call_new_route(self, vm=0):
+        """Send a call to a route that the configuration lacks."""
         return self.fleet.call("GET", "/new/x", "r", vm=vm)
 
-    def test_while_the_log_answers(self):
+    def test_not_found_while_the_log_answers(self):
         for _ in range(12):
             self.fleet.turn_for(0.3)
-            self.assertEqual(404, self.ask().status)
+            self.assertEqual(404, self.call_new_route().status)
 
-    def test_when_the_log_has_been_away_for_longer_than_the_bound(self):
+    def test_unavailable_when_the_outage_exceeds_the_bound(self):
         self.fleet.store.refuse = 503
-        # a read that waited since before is still answered, after 1.4 s
+        # A long poll from before the outage is answered after up to 1.4 s.
         self.fleet.turn_for(2.1 + 1.4)
-        answer = self.ask()
+        answer = self.call_new_route()
         self.assertEqual(503, answer.status)
         self.assertGreater(float(answer.headers["retry-after"]), 0)
         self.fleet.store.refuse = 0
         self.fleet.turn_for(1.5)
-        self.assertEqual(404, self.ask().status)
+        self.assertEqual(404, self.call_new_route().status)
 
-    def test_when_another_vm_told_the_configuration(self):
+    def test_unavailable_when_the_configuration_came_from_another_vm(self):
         self.fleet.store.refuse = 429
         self.fleet.start_vm("late")
-        self.assertEqual(503, self.ask(vm=1).status)
+        self.assertEqual(503, self.call_new_route(vm=1).status)
 
-    def test_when_the_newest_configuration_can_not_be_read(self):
+    def test_unavailable_when_the_newest_configuration_is_invalid(self):
         self.fleet.configure({"version": 9})
         self.fleet.turn_for(0.3)
-        self.assertEqual(503, self.ask().status)
+        self.assertEqual(503, self.call_new_route().status)
         self.fleet.configure(fleet_module.default_configuration(10))
         self.fleet.turn_for(0.3)
-        self.assertEqual(404, self.ask().status)
+        self.assertEqual(404, self.call_new_route().status)
 
 
 class LeavingUpstreamTest(case.FleetCase):
-    """Upstreams that leave get no more work."""
+    """Leaving upstreams get no more work."""
 
     tools = 2
 
-    def test_draining(self):
+    def test_draining_upstream_gets_no_calls(self):
         leaving = self.fleet.tools[0]
         self.fleet.announce(leaving, fleet_module.PLAIN_SERVICE, "draining")
         directory = self.fleet.nodes[0].directory
@@ -82,7 +82,7 @@
             self.fleet.call("GET", "/safe/x", f"r{number}")
         self.assertEqual([], leaving.runs)
 
-    def test_withdrawn(self):
+    def test_connections_to_a_withdrawn_upstream_are_closed(self):
         leaving = self.fleet.tools[0]
         self.fleet.call("GET", "/safe/x", "first")
         self.fleet.withdraw(leaving)
@@ -92,9 +92,9 @@
 
 
 class ShutdownTest(case.FleetCase):
-    """SIGTERM cuts no request."""
+    """A shutdown breaks off no request."""
 
-    def test_a_request_under_way_is_answered(self):
+    def test_request_in_progress_is_answered(self):
         node = self.fleet.nodes[0]
         self.fleet.engines[0].event_seconds = 0.2
         caller = self.fleet.caller()
@@ -107,13 +107,13 @@
         self.fleet.turn_until(lambda: caller.answer.settled)
         self.assertTrue(caller.answer.whole)
 
-    def test_requests_that_still_come_are_served_and_closed(self):
+    def test_new_requests_are_served_and_their_connections_closed(self):
         self.fleet.nodes[0].shutdown.begin()
         answer = self.fleet.call("GET", "/safe/x", "r")
         self.assertEqual(200, answer.status)
         self.assertEqual("close", answer.headers["connection"])
 
-    def test_a_request_that_comes_late_is_sent_elsewhere(self):
+    def test_request_after_the_rotation_period_is_refused(self):
         caller = self.fleet.caller()
         self.fleet.call("GET", "/safe/x", "r", caller=caller)
         node = self.fleet.nodes[0]
@@ -126,6 +126,6 @@
         self.assertEqual(503, caller.answer.status)
         self.assertEqual([], self.fleet.engines[0].runs)
 
-    def test_it_ends(self):
+    def test_shutdown_completes(self):
         self.fleet.nodes[0].shutdown.begin()
         self.fleet.turn_until(lambda: self.fleet.stopped)
--- a/postspring/front/tests/test_entries.py
+++ b/postspring/front/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Upstreams' entries that change: new starts, and other writers'."""
+"""Changes of upstreams' entries: restarts, and other writers' entries."""
 
 import unittest
 
@@ -12,28 +12,28 @@
 
 
 class DirectoryUpdaterTest(unittest.TestCase):
-    """Entries on their way into the directory."""
+    """Entries of the log are applied to the directory."""
 
     def setUp(self):
         self.directory = upstreams.Directory(lambda: 0.0)
-        self.refused = 0
+        self.unreadable_count = 0
         self.updater = upstream_watch.DirectoryUpdater(
             self.directory, self.decode, self.count
         )
 
     def count(self):
-        """Count an entry that can't be read."""
-        self.refused += 1
+        """Count an entry that can't be decoded."""
+        self.unreadable_count += 1
 
     @staticmethod
     def decode(name, data):
-        """Read an entry; only ``good`` is one."""
+        """Decode an entry; only ``good`` is valid."""
         if data != b"good":
             raise errors.UpstreamError("bad")
         return upstreams.Announcement(name, "s", ("10.0.0.1", 80))
 
-    def take(self, *pairs):
-        """Take entries."""
+    def apply(self, *pairs):
+        """Apply entries."""
         self.updater.apply_entries(
             [keyedlog.LogEntry(*pair) for pair in pairs]
         )
@@ -42,15 +42,15 @@
         """Return the ids of the upstreams that may get work."""
         return sorted(item.id for item in self.directory.usable("s"))
 
-    def test_one_that_is_spoilt_is_held_back_until_it_is_good(self):
-        self.take(("a", b"good"), ("b", b"good"))
-        self.take(("a", b"bad"))
+    def test_unreadable_entry_holds_its_upstream_back(self):
+        self.apply(("a", b"good"), ("b", b"good"))
+        self.apply(("a", b"bad"))
         self.assertEqual(["b"], self.usable())
-        self.take(("a", b"good"))
+        self.apply(("a", b"good"))
         self.assertEqual(["a", "b"], self.usable())
 
-    def test_a_whole_list_with_a_spoilt_one(self):
-        self.take(("a", b"good"), ("b", b"good"))
+    def test_replacement_with_unreadable_entries(self):
+        self.apply(("a", b"good"), ("b", b"good"))
         entries = [("a", b"bad"), ("b", b"good"), ("c", b"bad")]
         self.updater.replace_entries(
             [keyedlog.LogEntry(*pair) for pair in entries]
@@ -58,35 +58,35 @@
         self.assertEqual(["b"], self.usable())
         self.assertIn("a", self.directory.by_id)
 
-    def test_one_line_for_a_writer_that_spoils_it_again_and_again(self):
+    def test_repeated_unreadable_entries_are_logged_once(self):
         with self.assertLogs("postspring.front", "ERROR") as logs:
             for _ in range(100):
-                self.take(("a", b"bad"))
+                self.apply(("a", b"bad"))
         self.assertEqual(1, len(logs.output))
-        self.assertEqual(100, self.refused)
+        self.assertEqual(100, self.unreadable_count)
 
-    def test_the_lines_are_bounded_for_many_ids(self):
+    def test_log_lines_are_bounded_for_many_ids(self):
         with self.assertLogs("postspring.front", "ERROR") as logs:
             for number in range(3000):
-                self.take((f"x{number}", b"bad"))
+                self.apply((f"x{number}", b"bad"))
         self.assertEqual(upstream_watch.MAX_UNREADABLE_IDS, len(logs.output))
 
 
-class SpoiltEntryTest(case.FleetCase):
-    """Another writer's entry stands in place of an engine's."""
+class OverwrittenEntryTest(case.FleetCase):
+    """Another writer overwrites the entry of an engine."""
 
     engines = 2
 
-    def spoil(self, engine, entry):
-        """Write an entry that the engine did not write."""
+    def overwrite_entry(self, engine, entry):
+        """Replace an engine's entry by an unreadable one."""
         self.fleet.store.put(names.SERVERS_TOPIC, engine.id, entry)
         directory = self.fleet.nodes[0].directory
         upstream = directory.by_id[engine.id]
         self.fleet.turn_until(lambda: upstream.unreadable)
 
-    def test_the_others_serve(self):
+    def test_other_engines_serve(self):
         first, second = self.fleet.engines
-        self.spoil(first, {"service": fleet_module.TURNS_SERVICE})
+        self.overwrite_entry(first, {"service": fleet_module.TURNS_SERVICE})
         for number in range(6):
             answer = self.fleet.take_turn(
                 f"t{number}", program_id=f"p{number}"
@@ -94,7 +94,7 @@
             self.assertEqual(200, answer.status)
         self.assertEqual([], first.runs)
 
-    def test_a_stream_that_runs_there_goes_on(self):
+    def test_stream_in_progress_continues(self):
         first, second = self.fleet.engines
         self.fleet.withdraw(second)
         directory = self.fleet.nodes[0].directory
@@ -105,14 +105,14 @@
         headers = self.fleet.headers("t0", fields)
         caller.send("POST", "/stream/x", headers, b"x")
         self.fleet.turn_until(lambda: first.runs)
-        self.spoil(first, {"state": 7})
+        self.overwrite_entry(first, {"state": 7})
         self.fleet.turn_until(lambda: caller.answer.settled)
         self.assertEqual(200, caller.answer.status)
         self.assertIn(b"w10", caller.answer.body)
 
 
-class StartedAgainTest(case.FleetCase):
-    """An engine crashes and starts again under its id and address."""
+class RestartedEngineTest(case.FleetCase):
+    """An engine crashes and restarts with the same id and address."""
 
     engines = 2
 
@@ -130,7 +130,7 @@
         )
 
     def restart(self, engine):
-        """Let an engine start again, and write its entry."""
+        """Restart an engine and write its entry."""
         engine.start_again(2000)
         self.fleet.announce(engine, fleet_module.TURNS_SERVICE)
         self.fleet.turn_until(
@@ -138,10 +138,10 @@
         )
 
     def engine_with_runs(self):
-        """Return the engine that ran something."""
+        """Return the first engine that ran a request."""
         return next(item for item in self.fleet.engines if item.runs)
 
-    def test_a_line_has_no_place_there_any_more(self):
+    def test_restarted_engine_is_another_incarnation(self):
         self.fleet.take_turn("t0")
         first = self.engine_with_runs()
         program = program_of(self.fleet)
@@ -151,7 +151,7 @@
         current = self.directory.by_id[first.id].incarnation
         self.assertNotEqual(current, program.whole_turn("t0").upstream)
 
-    def test_turns_go_on_with_their_whole_history(self):
+    def test_turns_continue_with_their_complete_history(self):
         self.fleet.take_turn("t0")
         self.restart(self.engine_with_runs())
         answer = self.fleet.take_turn("t1", previous_turn="t0")
@@ -159,7 +159,7 @@
         run = self.engine_with_runs().runs[-1]
         self.assertTrue(run.body.startswith(b"<t0>"))
 
-    def test_what_may_have_run_before_does_not_run_again(self):
+    def test_call_that_may_have_run_is_not_repeated(self):
         tool = self.fleet.tools[0]
         tool.faults.hang = True
         caller = self.fleet.caller()
--- a/postspring/front/tests/test_handover.py
+++ b/postspring/front/tests/test_handover.py
@@ -1,11 +1,10 @@
-"""VMs that stop while whole turns stand nowhere but in their memories.
-
-Not shown to be what was seen (a turn that a caller had whole reached no
-upstream, or was answered 404, on VMs that ran as real processes), but of its
-shape: a VM that stops ends shortly before the platform kills it, also if the
-log lacks what it keeps; while the log was slow or away for longer than that,
-VMs restarted one after the other took every copy with them, although VMs
-that stayed could have kept one.  VMs that were stopping took copies, too.
+"""Stopping VMs hand over complete turns that the log lacks.
+
+A stopping VM exits shortly before the platform kills it, even if the log
+lacks turns that it holds.  While the log was slow or unavailable for longer
+than that, a rolling restart lost every copy of a turn although VMs that
+stayed could have kept one, and VMs that were stopping accepted copies, too.
+A caller that continued such a turn got 404 or reached no upstream.
 """
 
 import dataclasses
@@ -21,7 +20,7 @@
 
 
 class StopCase(case.FleetCase):
-    """VMs that stop fast, and a store that can be away."""
+    """VMs that stop quickly, and a store that can be unavailable."""
 
     vms = 3
 
@@ -35,30 +34,30 @@
             self.wait_for_others(node, self.vms - 1)
 
     def wait_for_others(self, node, count):
-        """Wait until a VM lists so many others."""
+        """Wait until a VM lists at least this many others."""
         self.fleet.turn_until(lambda: len(node.members.others) >= count)
 
-    def whole_turn(self, request, vm=0):
-        """Let a turn be answered whole by copies alone."""
+    def complete_turn(self, request, vm=0):
+        """Complete a turn that is held only as copies on VMs."""
         self.fleet.store.refuse = 503
         self.assertTrue(self.fleet.take_turn(request, vm=vm).whole)
 
-    def wait_for_end(self, node):
-        """Wait until a VM that stops has ended, and end it."""
+    def wait_for_exit(self, node):
+        """Wait until a stopping VM exits, and remove it."""
         name = node.vm.vm
         self.fleet.turn_until(lambda: name in self.fleet.stopped)
         self.fleet.stopped.remove(name)
         self.fleet.stop_vm(node)
 
-    def start_again(self, name):
-        """Start a VM again, which has forgotten everything."""
+    def restart(self, name):
+        """Start a VM again, with an empty memory."""
         node = self.fleet.start_vm(name)
         node.vm = dataclasses.replace(node.vm, first_start=False)
         node.shutdown.grace = GRACE_SECONDS
         return node
 
-    def go_on(self):
-        """Bring the store back; return the status of the next turn."""
+    def continue_program(self):
+        """Make the store available; return the next turn's status."""
         self.fleet.store.refuse = 0
         self.fleet.turn_until(
             lambda: not any(node.journal.held for node in self.fleet.nodes)
@@ -66,19 +65,19 @@
         return self.fleet.take_turn("b", previous_turn="a").status
 
 
-class RollTest(StopCase):
-    """VMs are restarted while the store is away."""
+class RollingRestartTest(StopCase):
+    """VMs are restarted while the store is unavailable."""
 
-    def test_one_after_the_other(self):
-        self.whole_turn("a")
+    def test_turn_survives_a_rolling_restart(self):
+        self.complete_turn("a")
         for node in list(self.fleet.nodes):
             node.shutdown.begin()
-            self.wait_for_end(node)
-            self.start_again(node.vm.vm)
-        self.assertEqual(200, self.go_on())
+            self.wait_for_exit(node)
+            self.restart(node.vm.vm)
+        self.assertEqual(200, self.continue_program())
 
-    def test_those_that_stay_have_it(self):
-        """Three of four stop together, with every copy."""
+    def test_remaining_vm_gets_the_turn(self):
+        """Three of four VMs, which hold every copy, stop together."""
         author, first, second = self.fleet.nodes
         staying = self.fleet.start_vm("staying")
         for node in (author, first, second):
@@ -92,21 +91,21 @@
         for node in (author, first, second):
             node.shutdown.begin()
         for node in (author, first, second):
-            self.wait_for_end(node)
+            self.wait_for_exit(node)
         self.assertEqual([staying], self.fleet.nodes)
-        self.assertEqual(200, self.go_on())
+        self.assertEqual(200, self.continue_program())
 
 
 class AllStopTest(StopCase):
-    """All VMs stop while the store is away.
+    """All VMs stop while the store is unavailable.
 
-    Measured on a fleet of six with 30 records each: 225 calls and 102 MB in
-    4 s, as each gave its records to all others again every 0.25 s, although
-    these had said that they are stopping.
+    Each VM sent its records to all others again every 0.25 s although these
+    had answered that they were stopping.  Six VMs with 30 records each made
+    225 calls with 102 MB in 4 s.
     """
 
-    def test_who_stops_is_not_asked_again_and_again(self):
-        self.whole_turn("a")
+    def test_stopping_vms_are_asked_at_most_once(self):
+        self.complete_turn("a")
         asked = []
         for node in self.fleet.nodes:
             node.shutdown.grace = 60.0
@@ -117,19 +116,19 @@
             )
             node.shutdown.begin()
         self.fleet.turn_for(2.0)
-        # Each VM has asked each of the others, or fewer.
+        # Each VM asks each of the others at most once.
         self.assertLessEqual(len(asked), self.vms * (self.vms - 1))
 
 
 class KeepWhileStoppingTest(StopCase):
-    """A VM that stops is asked to keep a copy."""
+    """A stopping VM is asked to keep a copy."""
 
-    def ask_to_keep(self, node):
+    def request_copy(self, node):
         """Ask a VM to keep a turn; return the status."""
         claim = histories.Claim("author", 16, 1000)
         turn = histories.WholeTurn("p1", "a", claim, None, 4, b"<a>", b"w\n")
         request = messages.KeepRequest([histories.encode_record(turn)])
-        heard = []
+        results = []
         self.fleet.nodes[0].http.send(
             messages.request_to(
                 node.peers.address,
@@ -138,43 +137,43 @@
                 1.0,
             ),
             transport.AnswerCollector(
-                lambda status, body: heard.append(status), heard.append
+                lambda status, body: results.append(status), results.append
             ),
         )
-        self.fleet.turn_until(lambda: heard)
-        return heard[0]
+        self.fleet.turn_until(lambda: results)
+        return results[0]
 
-    def test_it_refuses(self):
+    def test_stopping_vm_refuses(self):
         node = self.fleet.nodes[1]
-        self.assertEqual(200, self.ask_to_keep(node))
+        self.assertEqual(200, self.request_copy(node))
         node.shutdown.begin()
-        self.assertEqual(503, self.ask_to_keep(node))
+        self.assertEqual(503, self.request_copy(node))
 
-    def test_others_are_asked_at_once(self):
-        """Of four that are asked, all stop: the fifth one keeps it."""
+    def test_other_vms_are_asked_at_once(self):
+        """Four VMs are stopping; the fifth keeps the copy."""
         staying = [self.fleet.start_vm(f"more-{n}") for n in range(3)][-1]
         author, *stopping = self.fleet.nodes[:-1]
         self.wait_for_others(author, 5)
         for node in stopping:
             node.shutdown.begin()
-        self.whole_turn("a")
+        self.complete_turn("a")
         self.assertEqual(1, staying.journal.held)
 
 
 class FoundWhileStoppingTest(StopCase):
-    """A VM past its rotation has a turn that the log lacks, as others have.
+    """A VM past its rotation period holds a turn that the log lacks.
 
-    By reading: it told VMs that asked that it could take the next turn, or
-    had its chain, and refused what they then passed on; callers that came
-    again were passed on to it again, until it ended.
+    Other VMs hold it, too.  The stopping VM answered that it could run the
+    next turn, or had its history, and then refused the forwarded turn.
+    Retries were forwarded to it again until it exited.
     """
 
     programs = 8
 
-    def test_turns_are_passed_on_to_one_that_stays(self):
+    def test_turns_are_forwarded_to_a_vm_that_stays(self):
         stopping, staying, asked = self.fleet.nodes
         stopping.shutdown.grace = 60.0
-        # It stands for one of the many that copies are not handed over to.
+        # In a larger fleet most VMs get no copies handed over.
         asked._peer_service._takes_copies = lambda: False
         self.fleet.store.refuse = 503
         for number in range(self.programs):
--- a/postspring/front/tests/test_homes.py
+++ b/postspring/front/tests/test_homes.py
@@ -1,12 +1,11 @@
-"""A program's homes while the store is away.
-
-Seen: on a day on which the store was away while the VMs were restarted in
-turn, a looping program got 588 tokens of 408, with 136 for one turn more; once
-in five plays of the day, as once before.  While the store is away a program
-goes on at a VM that has asked the others what it may spend.  If some did not
-answer, it gets the ceiling of one turn, by which a budget may be passed.  The
-next VM that does so, when the first one is gone, got it again: nobody had kept
-in mind who had had it.
+"""Budgets of programs that run at a home while the store is unavailable.
+
+While the store is unavailable a program continues at one VM, its home, which
+has asked the other VMs how much the program may spend.  If some do not answer,
+the home gets the ceiling of one turn, by which a budget may be exceeded.  When
+that VM was gone the next home got the ceiling again, because no VM remembered
+the first one: while the VMs were restarted one after the other, a looping
+program got 588 tokens of a budget of 408, with 136 for one more turn.
 """
 
 import dataclasses
@@ -17,17 +16,17 @@
 from postspring.peering import promises
 from postspring.testing.fleet import case
 
-# The stand-in's turns: three events of four tokens.
+# A turn of the simulated engine has three events of four tokens each.
 TURN_TOKENS = 12
 CEILING = 16
 BUDGET = 40
 HOME_BUDGET = 100
-# Longer than a VM stays back for another one.
-LATER_SECONDS = 0.6
+# Longer than a VM holds back because another VM asked to run the program.
+AFTER_PROMISE_SECONDS = 0.6
 
 
 class HomesCase(case.FleetCase):
-    """VMs that know each other; the store goes away."""
+    """VMs that list each other; the store becomes unavailable."""
 
     vms = 5
 
@@ -38,33 +37,33 @@
                 lambda node=node: len(node.members.others) == self.vms - 1
             )
         self.fleet.store.refuse = 503
-        self.handed = 0
+        self.tokens_delivered = 0
 
     def spend(self, name, turns=6):
-        """Begin turns at the first VM; count what callers get."""
+        """Take turns at the first VM; count the tokens that callers get."""
         for number in range(turns):
             answer = self.fleet.take_turn(
                 f"{name}{number}", token_budget=str(BUDGET)
             )
-            self.handed += TURN_TOKENS * (answer.status == 200)
+            self.tokens_delivered += TURN_TOKENS * (answer.status == 200)
 
 
 class SuccessiveHomesTest(HomesCase):
-    """One VM after the other lets the program go on, and is killed."""
+    """One VM after the other becomes the home and is killed."""
 
-    def test_the_budget_is_passed_by_one_turn_at_most(self):
+    def test_budget_is_exceeded_by_at_most_one_turn(self):
         for number in range(self.vms - 1):
             self.spend(f"vm{number}-")
             self.fleet.stop_vm(self.fleet.nodes[0])
-            self.fleet.turn_for(LATER_SECONDS)
-        self.assertGreater(self.handed, 0)
-        self.assertLessEqual(self.handed, BUDGET + CEILING)
+            self.fleet.turn_for(AFTER_PROMISE_SECONDS)
+        self.assertGreater(self.tokens_delivered, 0)
+        self.assertLessEqual(self.tokens_delivered, BUDGET + CEILING)
 
 
 class ForgottenHomeTest(test_absence.AbsenceCase):
-    """A home whose VM is not on the list yet, or was restarted.
+    """A home that is not on the member list yet, or was restarted.
 
-    Found by reading: the whole budget was given once more.
+    The next home must not get the whole budget again.
     """
 
     heartbeat = 60.0
@@ -81,36 +80,36 @@
             )
         )
 
-    def lose_log(self):
-        """Let the store turn everybody away."""
+    def interrupt_log(self):
+        """Make the store refuse all VMs."""
         self.fleet.store.refuse = 503
         for node in self.fleet.nodes:
             self.fleet.turn_until(lambda node=node: node.log.is_broken)
 
     def spend(self, vm, name):
-        """Let turns run at a VM until it gives no more; return tokens."""
+        """Take turns at a VM until one is refused; return the tokens."""
         for number in range(40):
             answer = self.fleet.take_turn(
                 f"{name}{number}", vm=vm, token_budget=str(HOME_BUDGET)
             )
             if answer.status != 200:
-                # Promises that were given on the way end meanwhile.
+                # Promises given for these turns expire meanwhile.
                 self.fleet.turn_for(1.0)
                 return TURN_TOKENS * number
         return TURN_TOKENS * 40
 
     def check(self, *tokens):
-        """The budget may be passed by the most of one turn."""
+        """Check that the budget is exceeded by at most one turn."""
         self.assertGreater(tokens[0], 0)
         self.assertLessEqual(sum(tokens), HOME_BUDGET + CEILING, tokens)
 
-    def test_at_a_vm_that_is_not_on_the_list_yet(self):
+    def test_home_that_is_not_on_the_list_yet(self):
         self.assertEqual(["vm0"], test_absence.others(self.old))
-        self.lose_log()
+        self.interrupt_log()
         self.check(self.spend(2, "a"), self.spend(1, "b"))
 
-    def meet_all(self):
-        """Let all read the list."""
+    def refresh_members(self):
+        """Make all VMs read the member list."""
         for node in self.fleet.nodes:
             node.members._follower.read_now()
         self.fleet.turn_until(
@@ -120,14 +119,14 @@
             )
         )
 
-    def test_at_a_vm_that_is_asked(self):
-        self.meet_all()
-        self.lose_log()
+    def test_home_that_is_on_the_list(self):
+        self.refresh_members()
+        self.interrupt_log()
         self.check(self.spend(2, "a"), self.spend(1, "b"))
 
-    def test_at_a_vm_that_was_restarted(self):
-        self.meet_all()
-        self.lose_log()
+    def test_home_that_was_restarted(self):
+        self.refresh_members()
+        self.interrupt_log()
         first = self.spend(2, "a")
         self.fleet.stop_vm(self.newest)
         again = self.fleet.start_vm("vm2")
@@ -139,20 +138,19 @@
 
 
 class SlowToRecordTest(HomesCase):
-    """The log is back; what a home used does not stand in it yet.
+    """The log is available again but lacks what a home has spent.
 
-    Seen: after an outage of 4.5 s a looping program whose caller carries the
-    conversation got 1,368 tokens of 864, with 288 for one turn more.  592 of
-    them were used at a home, whose records came after the turns that other
-    VMs opened in the log (once in 16 hunted days, and when it was played
-    again).
+    After an outage of 4.5 s a looping program whose caller carries the
+    conversation got 1,368 tokens of a budget of 864, with 288 for one more
+    turn: 592 tokens were spent at a home whose records were appended after
+    the turns that other VMs had opened in the log.
     """
 
     vms = 3
     route = "carried-stream"
 
     def spend(self, name, turns=6, vm=0):
-        """Take turns at a VM; count what callers get."""
+        """Take turns at a VM; count the tokens that callers get."""
         for number in range(turns):
             answer = self.fleet.take_turn(
                 f"{name}{number}",
@@ -160,10 +158,10 @@
                 route=self.route,
                 token_budget=str(BUDGET),
             )
-            self.handed += TURN_TOKENS * (answer.status == 200)
+            self.tokens_delivered += TURN_TOKENS * (answer.status == 200)
 
-    def bring_back(self):
-        """Let the log answer; the home is slow to record."""
+    def restore_log(self):
+        """Make the log available; the home is slow to record."""
         home = self.fleet.nodes[0].journal
         place = histories.partitions.place_of_program("p1")
         partition = home._partitions.get(place)
@@ -175,30 +173,30 @@
             self.fleet.turn_until(lambda node=node: not node.log.is_down)
         return partition, slow
 
-    def test_other_vms_wait_for_it(self):
+    def test_other_vms_wait_for_the_records_of_the_home(self):
         self.spend("home")
-        spent = self.handed
+        spent = self.tokens_delivered
         self.assertGreater(spent, BUDGET - CEILING - TURN_TOKENS)
-        self.bring_back()
+        self.restore_log()
         for vm in (1, 2):
             self.spend(f"vm{vm}-", vm=vm)
-        self.assertLessEqual(self.handed, BUDGET + CEILING)
+        self.assertLessEqual(self.tokens_delivered, BUDGET + CEILING)
 
-    def test_what_is_left_is_spent_once_it_is_recorded(self):
+    def test_rest_of_the_budget_is_available_once_recorded(self):
         self.spend("home", turns=1)
-        partition, slow = self.bring_back()
+        partition, slow = self.restore_log()
         slow.stop()
         partition._retry_now()
         home = self.fleet.nodes[0].journal
         self.fleet.turn_until(lambda: not home.unrecorded)
-        # Until then other VMs stay back for the home, recorded or not.
+        # Until a promise expires, other VMs wait even if all is recorded.
         self.fleet.turn_for(promises.PROMISE_SECONDS)
         self.spend("next", vm=1)
-        self.assertEqual(36, self.handed)
+        self.assertEqual(36, self.tokens_delivered)
 
-    def test_when_all_is_settled_nobody_is_asked_any_more(self):
+    def test_no_vm_is_asked_once_all_is_settled(self):
         self.spend("home", turns=1)
-        partition, slow = self.bring_back()
+        partition, slow = self.restore_log()
         node = self.fleet.nodes[1]
         self.assertTrue(node.peer_client.may_owe("p1"))
         slow.stop()
--- a/postspring/front/tests/test_leaving_upstreams.py
+++ b/postspring/front/tests/test_leaving_upstreams.py
@@ -1,10 +1,9 @@
-"""Requests to an upstream that leaves while the log is away.
+"""Requests to an upstream that leaves while the log is unavailable.
 
-Seen: 2.25 s after the store had acknowledged that an upstream leaves, a
-request reached it; the bound was 2.0 s.  Its data centre had been cut off.
-Its entry lapsed meanwhile, so that the acknowledgement changed nothing in
-the log, and VMs went on with an upstream without an entry for longer than
-the bound.
+An upstream in an isolated data centre got a request 2.25 s after the store
+had acknowledged its leave; the bound was 2.0 s.  Its entry had lapsed, so the
+leave changed nothing in the log, and VMs tolerated the missing entry for
+longer than the bound.
 """
 
 import itertools
@@ -22,13 +21,13 @@
 
 PLACE = upstream_list.UPSTREAMS_PLACE
 STEP_SECONDS = 0.05
-# What an upstream needs at most to write its entry again, by the platform's
-# page.
+# A running upstream rewrites its entry within this time after an outage,
+# according to the platform's page.
 REANNOUNCE_SECONDS = 2.0
 
 
 def decode(name, value):
-    """Read an entry, which here is no more than the state."""
+    """Decode an entry, which here is only the state."""
     return upstreams.Announcement(
         id=name,
         service="s",
@@ -38,7 +37,7 @@
 
 
 class LeavingCase(unittest.TestCase):
-    """One VM's list of upstreams, in virtual time."""
+    """One VM's directory of upstreams, in virtual time."""
 
     drain = 2.0
 
@@ -46,7 +45,7 @@
         self.start()
 
     def start(self):
-        """Start a VM that knows upstreams ``a`` and ``b``."""
+        """Start a VM whose directory has upstreams ``a`` and ``b``."""
         self.clock = clock_module.VirtualClock()
         self.timers = clock_module.VirtualTimers(
             self.clock, clock_module.VirtualProcess("vm")
@@ -55,8 +54,8 @@
         self.log = memory_log.MemoryLog(self.data, self.timers)
         self.log.faults.gives_up_after = 1.2
         self.directory = upstreams.Directory(self.timers.now)
-        self.list = upstream_list.UpstreamFollower(
-            self.way_to(self.log),
+        self.follower = upstream_list.UpstreamFollower(
+            self.vm_log(self.log),
             self.timers,
             self.drain,
             1.2,
@@ -66,17 +65,17 @@
         )
         self.write("a", b"ready")
         self.write("b", b"ready")
-        self.list.start()
+        self.follower.start()
         self.clock.run_for(10.0)
 
-    def way_to(self, log):
-        """Return the log as the VM calls it; no other VM can help."""
+    def vm_log(self, log):
+        """Return the log as the VM calls it, without a helper VM."""
         return peering.FailoverLog(
             log, lambda member: None, lambda: [], self.timers
         )
 
-    def go_away(self, seconds, fault="down"):
-        """Let the log be away for this VM."""
+    def interrupt_log(self, seconds, fault="down"):
+        """Make the log unavailable to this VM for some time."""
         setattr(self.log.faults, fault, True)
         self.clock.run_for(seconds)
         setattr(self.log.faults, fault, False)
@@ -87,21 +86,21 @@
 
     @property
     def usable(self):
-        """Names of the upstreams that may get work now."""
+        """Ids of the upstreams that may get work now."""
         return {item.id for item in self.directory.usable("s")}
 
-    def seconds_used(self, name="a", longest=15.0):
+    def seconds_used(self, name="a", max_seconds=15.0):
         """Return for how long from now on an upstream may get work."""
-        begun = self.timers.now()
+        started_at = self.timers.now()
         used = 0.0
-        while self.timers.now() - begun < longest:
+        while self.timers.now() - started_at < max_seconds:
             self.clock.run_for(STEP_SECONDS)
             if name in self.usable:
-                used = self.timers.now() - begun
+                used = self.timers.now() - started_at
         return used
 
     def check_within_the_bound(self, used):
-        """Check for how long an upstream got work, by case."""
+        """Check for how long an upstream got work in each case."""
         too_long = {
             case: seconds
             for case, seconds in used.items()
@@ -111,48 +110,49 @@
 
 
 class LapsedEntryTest(LeavingCase):
-    """An entry lapsed while the log was away, and does not come back."""
+    """An entry lapsed during an outage and is not written again."""
 
-    # How calls fail meanwhile.
+    # Kinds of failure of calls during the outage.
     faults = ("down", "silent")
 
-    def test_an_upstream_without_an_entry_gets_no_work_after_the_bound(self):
+    def test_upstream_without_an_entry_gets_no_work_after_the_bound(self):
         used = {}
         for fault in self.faults:
             for tenths in range(40):
                 self.start()
                 self.clock.run_for(tenths / 10)
                 self.write("a", b"")
-                self.go_away(6.0, fault)
+                self.interrupt_log(6.0, fault)
                 used[fault, tenths] = self.seconds_used()
         self.check_within_the_bound(used)
 
-    def test_a_log_that_is_busy_after_its_return(self):
-        # That it refuses a call as too many shows that it is back.
+    def test_log_that_is_busy_after_the_outage(self):
+        # A refusal of a call as one too many shows that the log is available.
         used = {}
         for tenths in range(20):
             self.start()
             self.clock.run_for(tenths / 10)
             self.write("a", b"")
-            self.go_away(6.0)
+            self.interrupt_log(6.0)
             self.log.faults.busy = 1
             used[tenths] = self.seconds_used()
         self.check_within_the_bound(used)
 
-    def test_an_outage_too_short_for_an_entry_to_lapse(self):
-        # A call that failed was taken for an outage: a removal that was
-        # acknowledged right behind it counted as a lapse.
+    def test_outage_too_short_for_an_entry_to_lapse(self):
+        # A failed call was taken for an outage, so a removal that was
+        # acknowledged right after it counted as a lapse.
         for tenths in range(20):
             self.start()
             self.clock.run_for(tenths / 20)
-            self.go_away(1.0)
+            self.interrupt_log(1.0)
             self.clock.run_for(0.35)
             self.write("a", b"")
             with self.subTest(tenths=tenths):
                 self.assertLessEqual(self.seconds_used(), self.drain)
 
-    def test_calls_that_fail_now_and_then(self):
-        # Each one began the time anew in which a removal was not believed.
+    def test_calls_that_fail_intermittently(self):
+        # Each failed call restarted the time in which missing entries are
+        # tolerated.
         read = self.log.read
         refused = itertools.cycle((True, False))
 
@@ -172,23 +172,23 @@
     drain = 4.0
 
 
-class AliveTest(LeavingCase):
-    """An entry lapsed, and is back as late as the platform's page allows."""
+class ReturningEntryTest(LeavingCase):
+    """An entry lapsed and returns as late as the platform's page allows."""
 
-    # From one call that shows the log to be away to the next, and how often
-    # the list is read then.
-    longest_unused = (
+    # Time between two calls that show the log to be unavailable, and the
+    # interval of reads after that.
+    max_unused_seconds = (
         failover.PROBE_SECONDS
         + follower.RETRY_SECONDS
         + upstream_list.RECOVERY_READ_INTERVAL_SECONDS
     )
 
-    def test_it_is_used_until_it_can_be_back(self):
+    def test_upstream_is_used_until_its_entry_returns(self):
         for tenths in range(20):
             self.start()
             self.clock.run_for(tenths / 10)
             self.write("a", b"")
-            self.go_away(6.0)
+            self.interrupt_log(6.0)
             unused = 0.0
             for step in range(round(4.0 / STEP_SECONDS)):
                 if step == round(REANNOUNCE_SECONDS / STEP_SECONDS):
@@ -197,21 +197,21 @@
                 if "a" not in self.usable:
                     unused += STEP_SECONDS
             with self.subTest(tenths=tenths):
-                self.assertLessEqual(unused, self.longest_unused)
+                self.assertLessEqual(unused, self.max_unused_seconds)
                 self.assertIn("a", self.usable)
 
 
-class AliveByAnyCallTest(AliveTest):
-    """The log is asked each time, also while it is away."""
+class ReturningEntryDirectLogTest(ReturningEntryTest):
+    """Every call goes to the log, also while it is unavailable."""
 
-    longest_unused = 0.5
+    max_unused_seconds = 0.5
 
-    def way_to(self, log):
-        """Call the log itself."""
+    def vm_log(self, log):
+        """Return the log itself."""
         return log
 
 
-class LongerBoundAliveTest(AliveByAnyCallTest):
+class ReturningEntryLongerBoundTest(ReturningEntryDirectLogTest):
     """The same with a longer bound."""
 
     drain = 4.0
--- a/postspring/front/tests/test_loads.py
+++ b/postspring/front/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""VMs tell each other what they have in flight."""
+"""VMs exchange the numbers of calls that they have in flight."""
 
 from postspring.testing.fleet import case
 
@@ -17,8 +17,8 @@
                 lambda node=node: len(node.members.others) == 2
             )
 
-    def others_of(self, node):
-        """Return what a VM knows of the others' calls."""
+    def calls_of_others(self, node):
+        """Return how many calls of other VMs a VM counts."""
         now = node.timers.now()
         return sum(
             upstream.calls_of_all(now) - upstream.in_flight
@@ -26,7 +26,7 @@
         )
 
     def hold_turns(self, vm, count):
-        """Let turns hang at the engines."""
+        """Start turns that hang at the engines."""
         for engine in self.fleet.engines:
             engine.faults.hang = True
         before = self.in_flight(vm)
@@ -40,28 +40,30 @@
         self.fleet.turn_until(lambda: self.in_flight(vm) == before + count)
 
     def in_flight(self, vm):
-        """Return the calls that a VM has at upstreams."""
+        """Return how many calls a VM has in flight at upstreams."""
         upstreams = self.fleet.nodes[vm].directory.by_id.values()
         return sum(upstream.in_flight for upstream in upstreams)
 
-    def test_all_others_calls_are_known(self):
+    def test_each_vm_counts_calls_of_all_others(self):
         self.hold_turns(0, 3)
         self.hold_turns(1, 1)
         self.hold_turns(2, 2)
         expected = [3, 5, 4]
         self.fleet.turn_until(
-            lambda: expected == [self.others_of(n) for n in self.fleet.nodes]
+            lambda: (
+                expected == [self.calls_of_others(n) for n in self.fleet.nodes]
+            )
         )
 
-    def test_they_are_forgotten_when_nobody_tells(self):
+    def test_counts_of_a_stopped_vm_expire(self):
         self.hold_turns(0, 3)
         self.hold_turns(1, 1)
         other = self.fleet.nodes[1]
-        self.fleet.turn_until(lambda: self.others_of(other) == 3)
+        self.fleet.turn_until(lambda: self.calls_of_others(other) == 3)
         self.fleet.stop_vm(self.fleet.nodes[0])
-        self.fleet.turn_until(lambda: self.others_of(other) == 0)
+        self.fleet.turn_until(lambda: self.calls_of_others(other) == 0)
 
-    def test_an_idle_vm_says_nothing(self):
+    def test_idle_vm_sends_nothing(self):
         before = [
             node._peer_http.connections_opened for node in self.fleet.nodes
         ]
@@ -71,8 +73,8 @@
         ]
         self.assertEqual(before, after)
 
-    def test_a_new_line_goes_where_others_have_less(self):
-        # All of the far VM's calls are at one engine, as it knows no other.
+    def test_new_program_gets_the_engine_with_fewer_calls(self):
+        # All calls of the far VM are at one engine: the other is suspended.
         first, second = self.fleet.engines
         directory = self.fleet.nodes[2].directory
         directory.by_id[second.id].suspend(self.fleet.timers.now(), 60.0)
@@ -80,7 +82,7 @@
         self.fleet.turn_until(lambda: len(first.runs) == 6)
         self.hold_turns(1, 1)
         node = self.fleet.nodes[1]
-        self.fleet.turn_until(lambda: self.others_of(node) == 6)
+        self.fleet.turn_until(lambda: self.calls_of_others(node) == 6)
         runs = len(first.runs) + len(second.runs)
         self.hold_turns(1, 2)
         self.fleet.turn_until(
@@ -90,7 +92,7 @@
 
 
 class DeadEngineTest(case.FleetCase):
-    """An engine crashes while its entry still stands."""
+    """An engine crashes while its entry is still in the log."""
 
     vms = 3
     engines = 2
@@ -101,28 +103,28 @@
             self.fleet.turn_until(
                 lambda node=node: len(node.members.others) == 2
             )
-        self.dead, self.sound = self.fleet.engines
+        self.dead, self.healthy = self.fleet.engines
         for node in self.fleet.nodes:
-            self.upstream(node, self.sound).suspend(node.timers.now(), 0.5)
+            self.upstream(node, self.healthy).suspend(node.timers.now(), 0.5)
 
     @staticmethod
     def upstream(node, engine):
-        """Return what a VM knows of an engine."""
+        """Return a VM's directory item of an engine."""
         return node.directory.by_id[engine.id]
 
-    def lose_turn(self, vm):
-        """Let a VM lose a turn at the dead engine."""
+    def fail_turn(self, vm):
+        """Send a turn through a VM that fails at the dead engine."""
         answer = self.fleet.take_turn(
             f"lost-{vm}", vm=vm, program_id=f"p-{vm}"
         )
         self.assertEqual(502, answer.status)
 
-    def test_the_third_vm_does_not_try_it(self):
+    def test_third_vm_does_not_try_the_dead_engine(self):
         self.dead.faults.resets = True
-        self.lose_turn(0)
-        self.lose_turn(1)
+        self.fail_turn(0)
+        self.fail_turn(1)
         third = self.fleet.nodes[2]
-        # A VM hears of others while it has calls of its own.
+        # A VM exchanges loads only while it has calls itself.
         self.fleet.call("GET", "/safe/x", "r1", vm=2)
         upstream = self.upstream(third, self.dead)
         self.fleet.turn_until(lambda: not upstream.accepts(third.timers.now()))
@@ -132,7 +134,7 @@
         self.assertEqual(200, answer.status)
         self.assertEqual(arrivals, self.dead.arrivals)
 
-    def test_one_that_answers_somebody_is_trusted_again(self):
+    def test_engine_that_answers_another_vm_is_used_again(self):
         self.dead.events, self.dead.event_seconds = 60, 0.02
         caller = self.fleet.caller(2)
         fields = {"program_id": "p-2", "token_usage": "100,400"}
@@ -140,8 +142,8 @@
         caller.send("POST", "/stream/x", headers, b"x")
         self.fleet.turn_until(lambda: self.dead.runs)
         self.dead.faults.resets = True
-        self.lose_turn(0)
-        self.lose_turn(1)
+        self.fail_turn(0)
+        self.fail_turn(1)
         first = self.fleet.nodes[0]
         upstream = self.upstream(first, self.dead)
         self.fleet.turn_until(lambda: upstream.suspected_at > 0)
--- a/postspring/front/tests/test_lost_reads.py
+++ b/postspring/front/tests/test_lost_reads.py
@@ -1,9 +1,8 @@
-"""What reads of the log that are never answered cost of a bound.
+"""Records take effect within their bound although answers of reads are lost.
 
-By reading, and by a trial on the follower: the pause between two reads, a
-read without an answer, the pause after it and the read that succeeds made
-2.4 s of a bound of 2.0 s for upstreams that leave.  A waiting read of the
-configuration made 2.9 s of 2.0 s.
+The pause between two reads, a read whose answer is lost, the pause after it
+and the read that succeeds add up: they took 2.4 s where an upstream's leave
+has a bound of 2.0 s, and 2.9 s with a long poll for the configuration.
 """
 
 import itertools
@@ -23,9 +22,10 @@
 from postspring import upstreams
 
 BOUNDS = (2.0, 4.0, 6.0)
-MOMENTS = 20
-# What the log takes for an answer while it is slow, by the platform's page:
-# sixty times 4 ms.
+# Moments within a bound at which a record is written.
+MOMENT_COUNT = 20
+# Latency of the log while it is slow, according to the platform's page: sixty
+# times 4 ms.
 SLOW_SECONDS = 0.24
 NOWHERE = ("127.0.0.1", 1)
 
@@ -33,46 +33,46 @@
 class LossyLog(memory_log.MemoryLog):
     """Loses the answers of some reads of one partition.
 
-    A read that is under way counts as one; the client gives each up.
+    This includes reads in progress; each lost read ends with a time-out.
     """
 
     def __init__(self, data, timers):
         super().__init__(data, timers)
-        self._lossy = None
-        self._left = 0
-        self._under_way = {}
+        self._faulty_place = None
+        self._lost_answers_left = 0
+        self._in_progress = {}
         self._refusals = []
 
     def lose(self, place, count):
-        """Lose that many answers from now on, the one due next first."""
-        self._lossy, self._left = place, count
-        if count and self._under_way.get(place):
-            self._left -= 1
-            for answer in self._under_way[place]:
+        """Lose the next answers; reads in progress count as one."""
+        self._faulty_place, self._lost_answers_left = place, count
+        if count and self._in_progress.get(place):
+            self._lost_answers_left -= 1
+            for answer in self._in_progress[place]:
                 answer.is_lost = True
 
     def refuse(self, place, errors):
-        """Refuse the next reads, each with an error."""
-        self._lossy, self._refusals = place, list(errors)
+        """Refuse the next reads, each with one of the errors."""
+        self._faulty_place, self._refusals = place, list(errors)
 
     def read(self, place, start, on_page, on_error, wait=0.0):
-        """Read, be refused, or let the caller's time run out."""
-        if place == self._lossy and self._refusals:
+        """Read, fail with an error, or end with a time-out."""
+        if place == self._faulty_place and self._refusals:
             error = self._refusals.pop()
             self._timers.call_later(self.faults.latency, on_error, error)
             return
         answer = _Answer(self._timers, on_page, on_error, wait)
-        if place == self._lossy and self._left:
-            self._left -= 1
+        if place == self._faulty_place and self._lost_answers_left:
+            self._lost_answers_left -= 1
             answer.is_lost = True
-        under_way = self._under_way.setdefault(place, set())
-        under_way.add(answer)
-        answer.on_end = lambda: under_way.discard(answer)
+        in_progress = self._in_progress.setdefault(place, set())
+        in_progress.add(answer)
+        answer.on_end = lambda: in_progress.discard(answer)
         super().read(place, start, answer.take, on_error, wait)
 
 
 class _Answer:
-    """Takes the answer of one read, or loses it."""
+    """Delivers the answer of one read, or loses it."""
 
     def __init__(self, timers, on_page, on_error, wait):
         self._on_page = on_page
@@ -82,7 +82,7 @@
         timers.call_later(store.READ_TIMEOUT_SECONDS + wait, self._give_up)
 
     def take(self, page):
-        """Pass the answer on, unless it is lost."""
+        """Deliver the answer unless it is lost."""
         if not self.is_lost and self.on_end is not None:
             self._end()
             self._on_page(page)
@@ -98,7 +98,7 @@
 
 
 class LostReadTest(unittest.TestCase):
-    """A VM that no other one can help."""
+    """Reads of a VM that has no other VM as a helper."""
 
     slow_seconds = SLOW_SECONDS
 
@@ -113,10 +113,12 @@
         log = peering.FailoverLog(
             self.direct, lambda member: None, lambda: [], self.timers
         )
-        self.known_at = {}
-        self.directory = upstreams.Directory(self.timers.now, self.left)
+        self.effective_at = {}
+        self.directory = upstreams.Directory(
+            self.timers.now, self.upstream_left
+        )
         current = configuration_module.CurrentConfiguration(
-            "config", decode_configuration, self.changed
+            "config", decode_configuration, self.configuration_changed
         )
         vm = platform_settings.VmSettings(
             vm="vm",
@@ -147,63 +149,70 @@
         self.followers.start()
         self.clock.run_for(10.0)
 
-    def left(self, upstream):
-        """Take note of when an upstream gets no work any more."""
-        self.known_at[upstream_list.UPSTREAMS_PLACE] = self.timers.now()
+    def upstream_left(self, upstream):
+        """Record when an upstream stops getting work."""
+        self.effective_at[upstream_list.UPSTREAMS_PLACE] = self.timers.now()
 
-    def changed(self, snapshot):
-        """Take note of when a configuration is in force."""
-        self.known_at[followers.CONFIGURATION_PLACE] = self.timers.now()
+    def configuration_changed(self, snapshot):
+        """Record when a configuration takes effect."""
+        self.effective_at[followers.CONFIGURATION_PLACE] = self.timers.now()
 
     def write(self, place, key, value):
         """Add a record."""
         self.data.append(place, [keyedlog.LogEntry(key, value)])
 
-    def seconds_until_known(self, place, key, value, spoil, bound, moment):
-        """Return how long a record takes to have its effect."""
+    def seconds_until_effect(
+        self, place, key, value, inject_fault, bound, moment
+    ):
+        """Return how long a record takes to take effect."""
         self.start(bound)
-        self.clock.run_for(bound * moment / MOMENTS)
+        self.clock.run_for(bound * moment / MOMENT_COUNT)
         self.direct.faults.latency = self.slow_seconds
-        spoil(place)
-        begun = self.timers.now()
-        self.known_at.clear()
+        inject_fault(place)
+        written_at = self.timers.now()
+        self.effective_at.clear()
         self.write(place, key, value)
         self.clock.run_for(4 * bound)
-        return self.known_at[place] - begun
+        return self.effective_at[place] - written_at
 
     def check(self, place, key, value):
-        """Look at every bound, each way in which reads fail, and moment."""
+        """Check every bound, kind of read failure and moment."""
         late = {}
-        cases = itertools.product(BOUNDS, self.ways(), range(MOMENTS))
-        for bound, (name, spoil), moment in cases:
-            seconds = self.seconds_until_known(
-                place, key, value, spoil, bound, moment
+        cases = itertools.product(
+            BOUNDS, self.read_faults(), range(MOMENT_COUNT)
+        )
+        for bound, (name, inject_fault), moment in cases:
+            seconds = self.seconds_until_effect(
+                place, key, value, inject_fault, bound, moment
             )
             if seconds > bound:
                 late[bound, name, moment] = round(seconds, 2)
         self.assertEqual({}, late)
 
-    def ways(self):
-        """Return how reads fail, by name."""
+    def read_faults(self):
+        """Return functions that make reads fail, with their names."""
         busy = keyedlog.LogBusy("status_429")
-        away = keyedlog.LogUnavailable("status_503")
+        unavailable = keyedlog.LogUnavailable("status_503")
         return (
             ("none lost", lambda place: None),
             ("one lost", lambda place: self.direct.lose(place, 1)),
             ("two lost", lambda place: self.direct.lose(place, 2)),
             ("one busy", lambda place: self.direct.refuse(place, [busy])),
-            ("one away", lambda place: self.direct.refuse(place, [away])),
+            (
+                "one away",
+                lambda place: self.direct.refuse(place, [unavailable]),
+            ),
         )
 
-    def test_an_upstream_that_leaves_is_left_alone_within_the_bound(self):
+    def test_leaving_upstream_gets_no_work_after_the_bound(self):
         self.check(upstream_list.UPSTREAMS_PLACE, "a", b"leaving")
 
-    def test_a_configuration_is_in_force_within_the_bound(self):
+    def test_configuration_takes_effect_within_the_bound(self):
         self.check(followers.CONFIGURATION_PLACE, "config", b"2")
 
 
 def decode_upstream(name, value):
-    """Read an upstream's entry, which here is no more than the state."""
+    """Decode an upstream's entry, which here is only its state."""
     return upstreams.Announcement(
         id=name,
         service="s",
@@ -213,20 +222,21 @@
 
 
 def decode_configuration(value):
-    """Read a configuration, which here is no more than the version."""
+    """Decode a configuration, which here is only its version."""
     return routing.Snapshot(int(value), (), {})
 
 
 class BusyLogTest(LostReadTest):
-    """Three reads in a row are one too many; a refusal comes at once.
+    """A busy log refuses three consecutive reads.
 
-    By reading: the pauses after them made 2.1 s of a bound of 2.0 s.
+    Refusals come at once, but the pauses after them added up to 2.1 s of a
+    bound of 2.0 s.
     """
 
     slow_seconds = memory_log.LATENCY_SECONDS
 
-    def ways(self):
-        """Return how reads fail, by name."""
+    def read_faults(self):
+        """Return functions that make reads fail, with their names."""
         busy = keyedlog.LogBusy("status_429")
         return (
             (
--- a/postspring/front/tests/test_places.py
+++ b/postspring/front/tests/test_places.py
@@ -1,21 +1,21 @@
-"""A turn that another program continues, and whose place is not recorded.
+"""Another program continues a turn whose location is not recorded.
 
-Found by reading, shown here by a 404 for a turn that was answered whole: the
-store took appends to the partition of the turn's program, not to that of its
-place (one partition down for appends, or calls beyond the rate); reads
-worked.  Every VM stopped keeping the turn when it stood among its program's
-records, so nobody found it under another program.
+The store accepted appends to the partition of the turn's program but not to
+that of its location, because one partition was unavailable for appends or the
+rate was exceeded; reads worked.  Every VM dropped its copy of the turn once
+the turn stood among its program's records, so no VM found it for another
+program, and a turn that was answered completely led to a 404.
 """
 
 from postspring.front.tests import test_absence
 from postspring.platform import names
 
 
-class UnrecordedPlaceTest(test_absence.AbsenceCase):
-    """Appends of places are refused for some seconds; reads are answered."""
+class UnrecordedLocationTest(test_absence.AbsenceCase):
+    """Appends of locations are refused for some seconds; reads work."""
 
-    def refuse_places(self):
-        """Refuse appends of places with 503: nothing was done."""
+    def refuse_location_appends(self):
+        """Refuse appends of locations with 503, without effect."""
         append = self.fleet.store._append
 
         def refuse(call, place):
@@ -26,7 +26,7 @@
 
         self.fleet.store._append = refuse
 
-    def test_it_is_not_said_to_be_none(self):
+    def test_turn_is_not_reported_as_missing(self):
         self.start_there()
         for number in range(2, 6):
             self.fleet.start_vm(f"here-{number}")
@@ -35,14 +35,14 @@
             self.fleet.turn_until(
                 lambda node=node: len(test_absence.others(node)) == 6
             )
-        self.refuse_places()
+        self.refuse_location_appends()
         answer = self.fleet.take_turn("a", vm=1, program_id="p0")
         self.assertTrue(answer.whole)
-        # Copies are looked for in the log after 2 to 3 s, and recorded.
+        # VMs look for copies in the log, and record them, after 2 to 3 s.
         self.fleet.turn_for(0.5)
-        keepers = [node for node in nodes if node.journal.held]
-        self.assertTrue(keepers)
-        asked = [node not in keepers for node in nodes].index(True, 2)
+        copy_holders = [node for node in nodes if node.journal.held]
+        self.assertTrue(copy_holders)
+        asked = [node not in copy_holders for node in nodes].index(True, 2)
         self.fleet.turn_for(4.5)
         answer = self.fleet.take_turn("b", vm=asked, previous_turn="a")
         self.assertNotEqual(404, answer.status)
--- a/postspring/front/tests/test_workspaces.py
+++ b/postspring/front/tests/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Callers' keys: whose a call is, on every way that leads to an upstream."""
+"""Callers' keys determine the workspace of a call on every path."""
 
 from postspring import forwarding
 from postspring import histories
@@ -15,7 +15,7 @@
     "token_usage": "100,16",
     "token_budget": "1000",
 }
-# A call of each kind: method, path, further header fields.
+# One call of each kind: method, path, further header fields.
 CALLS = {
     "safe": ("GET", "/safe/x", {}),
     "once": ("POST", "/once/x", {}),
@@ -46,7 +46,7 @@
         self.configure(with_workspaces())
 
     def configure(self, configuration):
-        """Bring a configuration into force."""
+        """Write a configuration and wait until it is in force."""
         self.fleet.configure(configuration)
         version = configuration["version"]
         self.fleet.turn_until(
@@ -66,7 +66,7 @@
 
     @property
     def runs(self):
-        """What reached upstreams."""
+        """All requests that ran at upstreams."""
         return [
             run
             for upstream in (*self.fleet.engines, *self.fleet.tools)
@@ -74,17 +74,17 @@
         ]
 
 
-class EveryWayTest(WorkspacesCase):
-    """The workspace's name goes to upstreams, the key nowhere."""
+class EveryPathTest(WorkspacesCase):
+    """Upstreams get the workspace's name but never the key."""
 
     def assert_named(self, run, name="acme"):
-        """Check what an upstream was told."""
-        told = [v for k, v in run.fields if k.lower() == names.TENANT.lower()]
-        self.assertEqual([name], told)
+        """Check that a run got the workspace's name and no key."""
+        sent = [v for k, v in run.fields if k.lower() == names.TENANT.lower()]
+        self.assertEqual([name], sent)
         self.assertNotIn(KEY, str(run.fields))
         self.assertNotIn(OTHER_KEY, str(run.fields))
 
-    def test_every_kind_of_call(self):
+    def test_each_kind_of_call_names_the_workspace(self):
         for kind in CALLS:
             with self.subTest(kind):
                 answer = self.call(kind, kind, tenant="forged")
@@ -93,7 +93,7 @@
                 for upstream in (*self.fleet.engines, *self.fleet.tools):
                     upstream.runs.clear()
 
-    def test_a_call_that_is_sent_again(self):
+    def test_retried_call_names_the_workspace(self):
         configuration = with_workspaces(3)
         for route in configuration["routes"]:
             route["max_attempts"] = 4
@@ -103,7 +103,7 @@
         self.assertEqual(200, self.call("turn").status)
         self.assert_named(self.runs[0])
 
-    def test_no_call_without_a_key(self):
+    def test_calls_without_a_valid_key_are_refused(self):
         for kind in CALLS:
             for key in (None, "", "nobody's", KEY.upper()):
                 with self.subTest(kind, key=key):
@@ -111,7 +111,7 @@
                     self.assertEqual(401, answer.status)
         self.assertEqual([], self.runs)
 
-    def test_two_keys_are_none(self):
+    def test_request_with_two_keys_is_refused(self):
         caller = self.fleet.caller()
         fields = [
             ("Host", fleet_module.HOST),
@@ -125,7 +125,7 @@
         self.fleet.turn_until(lambda: caller.received)
         self.assertIn(b" 401 ", caller.received)
 
-    def test_a_public_route_needs_none(self):
+    def test_public_route_needs_no_key(self):
         configuration = with_workspaces(3)
         for route in configuration["routes"]:
             route["public"] = True
@@ -136,25 +136,25 @@
                 self.assertEqual(200, answer.status)
         self.assertNotIn("forged", str([run.fields for run in self.runs]))
 
-    def test_nobody_can_pretend_to_be_a_vm(self):
-        for told in ("vm", "vm0", self.fleet.nodes[0].vm.vm):
+    def test_caller_cannot_impersonate_a_vm(self):
+        for forged in ("vm", "vm0", self.fleet.nodes[0].vm.vm):
             answer = self.call(
-                "safe", key=None, tenant="acme", **{"X-Relayed-By": told}
+                "safe", key=None, tenant="acme", **{"X-Relayed-By": forged}
             )
             self.assertIn(answer.status, (401, 503))
         self.assertEqual([], self.runs)
 
 
-class OwnNamesTest(WorkspacesCase):
+class SameIdsTest(WorkspacesCase):
     """Two workspaces that use the same ids share nothing."""
 
     vms = 2
 
     def take_turn(self, turn, key=KEY, vm=0, **headers):
-        """Take a turn; two workspaces choose the same names."""
+        """Take a turn with ids that both workspaces use."""
         return self.call("turn", turn, key, vm, **headers)
 
-    def test_a_turn_of_another_workspace_is_not_there(self):
+    def test_turn_of_another_workspace_is_not_found(self):
         self.assertTrue(self.take_turn("a").whole)
         for vm in (0, 1):
             answer = self.take_turn("b", OTHER_KEY, vm, previous_turn="a")
@@ -162,11 +162,11 @@
         answer = self.take_turn("c", vm=1, previous_turn="a")
         self.assertEqual(200, answer.status)
 
-    def test_the_same_turn_of_two_workspaces(self):
+    def test_same_turn_id_in_two_workspaces(self):
         self.assertEqual(200, self.take_turn("a").status)
         self.assertEqual(200, self.take_turn("a", OTHER_KEY).status)
 
-    def test_a_budget_is_a_workspaces_own(self):
+    def test_budgets_of_workspaces_are_separate(self):
         self.assertEqual(200, self.take_turn("a", token_budget="16").status)
         spent = self.take_turn("b", token_budget="16")
         self.assertEqual(402, spent.status)
@@ -175,21 +175,21 @@
 
 
 class ChangedKeysTest(WorkspacesCase):
-    """Keys that come and go."""
+    """Keys are added and removed."""
 
-    def test_one_that_was_taken_away(self):
+    def test_removed_key_is_refused(self):
         configuration = with_workspaces(3)
         configuration["tenants"][0]["api_keys"].remove(KEY)
         self.configure(configuration)
         self.assertEqual(401, self.call("safe").status)
         self.assertEqual(200, self.call("safe", key="key-of-acme-2").status)
 
-    def test_one_that_may_have_been_added_is_not_refused_for_good(self):
+    def test_key_that_may_be_new_is_refused_temporarily(self):
         self.fleet.store.silent = True
         self.fleet.turn_for(2.3)
         self.assertEqual(503, self.call("safe", key="new").status)
 
-    def test_bad_workspaces_change_nothing(self):
+    def test_invalid_workspaces_change_nothing(self):
         node = self.fleet.nodes[0]
         for bad in (
             {"api_keys": [OTHER_KEY]},
@@ -212,14 +212,14 @@
 
 
 class RemovalBoundTest(WorkspacesCase):
-    """A VM that the log does not answer believes keys for a time only."""
+    """Without answers of the log a VM accepts keys for a bounded time."""
 
     def setUp(self):
         super().setUp()
         self.node = self.fleet.nodes[0]
         self.node.admission._longest_age = 0.5
 
-    def test_then_nothing_runs(self):
+    def test_nothing_runs_after_the_bound(self):
         self.fleet.store.silent = True
         self.fleet.turn_until(lambda: not self.node.admission.is_confirmed)
         for kind in CALLS:
@@ -231,12 +231,12 @@
         self.assertFalse(self.node.is_ready)
 
 
-class ConfirmationsOfOthersTest(WorkspacesCase):
-    """The log answers one VM of a data centre, and not the others."""
+class RelayedConfirmationTest(WorkspacesCase):
+    """The log answers only one VM of a data centre."""
 
     vms = 2
 
-    def test_the_one_that_collects_passes_on_what_is_confirmed(self):
+    def test_collector_relays_confirmations_of_the_log(self):
         self.fleet.turn_until(
             lambda: all(
                 len(node.members.by_name) == 2 for node in self.fleet.nodes
@@ -245,19 +245,19 @@
         collector = peering.collector_of(
             list(self.fleet.nodes[0].members.by_name.values()), "z1"
         )
-        lacking = next(
+        unconfirmed = next(
             node for node in self.fleet.nodes if node.vm.vm != collector.name
         )
-        vm = self.fleet.nodes.index(lacking)
-        follower = lacking.followers.configuration
+        vm = self.fleet.nodes.index(unconfirmed)
+        follower = unconfirmed.followers.configuration
         follower._read = lambda: None
         self.fleet.turn_for(1.0)
         self.call("safe", vm=vm)
         self.fleet.turn_until(lambda: follower.confirmed_age < 1.0)
 
 
-class PassedOnTest(WorkspacesCase):
-    """Turns that another VM runs, as the store is away."""
+class ForwardedTurnTest(WorkspacesCase):
+    """Another VM runs forwarded turns while the store is unavailable."""
 
     vms = 4
 
@@ -280,7 +280,7 @@
         )
         self.fleet.nodes[0].journal.keep_copy(histories.encode_record(turn))
 
-    def test_it_is_told_whose_they_are_and_no_key(self):
+    def test_upstream_gets_the_workspace_and_no_key(self):
         answer = self.call("turn", "b", vm=1, previous_turn="a")
         self.assertEqual(200, answer.status)
         (run,) = self.runs
@@ -288,7 +288,7 @@
         self.assertNotIn(KEY, str(run.fields))
         self.assertEqual("", run.header(forwarding.RELAYED_NAME))
 
-    def test_another_workspace_does_not_get_them(self):
+    def test_other_workspace_cannot_continue_the_turn(self):
         answer = self.call("turn", "b", OTHER_KEY, vm=1, previous_turn="a")
         self.assertEqual(503, answer.status)
         self.assertEqual([], self.runs)
