--- a/postspring/front/configuration.py
+++ b/postspring/front/configuration.py
@@ -57,7 +57,7 @@
             snapshot = self._decode(value)
         except errors.ConfigurationError as error:
             LOG.error(
-                "could not decode configuration", extra={"error": str(error)}
+                "ignored invalid configuration", extra={"error": str(error)}
             )
             self.is_newest_readable = False
             return
--- a/postspring/front/leaving.py
+++ b/postspring/front/leaving.py
@@ -50,9 +50,9 @@
         if self._journal.unrecorded:
             return False
         if not self._has_all_recent_turns():
-            # This VM may have lost turns when it restarted.  While its entry
-            # stays on the list, no other VM answers that a turn does not
-            # exist without having asked it.
+            # This VM may have lost turns when it restarted.  Its entry stays
+            # on the list, so that other VMs miss its answer and do not
+            # conclude that a turn does not exist.
             return True
         self._members.leave()
         if self._leave_requested_at is None:
--- a/postspring/front/shutdown.py
+++ b/postspring/front/shutdown.py
@@ -1,7 +1,7 @@
 """Graceful shutdown: leaves the balancer's rotation, drains, then exits.
 
 A shutdown passes through the members of :class:`Phase` in order.  Each check
-enters at most one new phase, so that the loop reads the sockets in between.
+does one step at most, so that the loop reads the sockets in between.
 """
 
 from collections.abc import Callable
@@ -56,9 +56,8 @@
     grace : float
         Seconds from the signal to the platform's SIGKILL.
     may_exit : callable
-        Called until it returns true, once all connections are closed; returns
-        whether everything that was answered is recorded and the VM has left
-        the member list.
+        Called at each check once all connections are closed, until it returns
+        true: the exit is prepared, and would lose nothing that was answered.
     on_stopped : callable
         Called when everything is drained, or the grace period is over.
     count_unrecorded : callable
@@ -122,13 +121,13 @@
     def _check(self) -> None:
         if self.phase is Phase.ENDED:
             return
-        remaining = self.grace - self._elapsed
+        seconds_left = self.grace - self._elapsed
         if (
-            remaining < EXIT_MARGIN_SECONDS
+            seconds_left < EXIT_MARGIN_SECONDS
             and self.phase is Phase.FORCED_ANSWERS
         ):
             self._end()
-        elif remaining < ANSWER_MARGIN_SECONDS:
+        elif seconds_left < ANSWER_MARGIN_SECONDS:
             self._answer_open_requests()
         elif self.phase is Phase.LEAVING_ROTATION:
             if self._elapsed > ROTATION_SECONDS:
--- a/postspring/front/tests/test_absence.py
+++ b/postspring/front/tests/test_absence.py
@@ -1,12 +1,10 @@
-"""Whether a VM may say that there is no such turn.
-
-Seen: a turn was answered whole in a data centre that was cut off, and the
-next one, at a VM elsewhere, was answered 404.  The turn was kept only by the
-VMs behind the cut.  Elsewhere they had not been heard, and that was taken for
-a "no": first since they were fewer than the VMs that keep a turn; later, in a
-cut longer than the expiry of a VM's entry, since they had dropped off the
-list and were not asked at all.  Played days with such cuts showed both, the
-second one on code that no longer had the first.
+"""A VM answers 404 for a turn only if the turn certainly does not exist.
+
+A turn completed in an isolated data centre, and a VM elsewhere answered 404
+for the next turn: only the isolated VMs held the turn, and their silence was
+taken for a "no".  That happened because they were fewer than the VMs that hold
+a turn, and later because the partition outlasted their entries in the member
+list, so that they were not asked at all.
 """
 
 import dataclasses
@@ -25,7 +23,7 @@
 
 
 class AbsenceCase(case.FleetCase):
-    """One VM here, two in a data centre that can be cut off."""
+    """One VM here, two VMs there, in a data centre that can be isolated."""
 
     heartbeat = 0.2
 
@@ -49,28 +47,28 @@
         for node in self.there:
             self.fleet.turn_until(lambda node=node: len(others(node)) == 2)
 
-    def meet(self):
-        """Wait until all VMs know each other."""
+    def wait_until_listed(self):
+        """Wait until the VM here lists both others."""
         self.fleet.turn_until(lambda: len(others(self.here)) == 2)
 
-    def cut_off(self):
-        """Cut the other data centre off from the store and from here."""
+    def isolate_there(self):
+        """Isolate the other data centre from the store and from here."""
         for node in self.there:
             node.store._address = NOWHERE
-            hide(node, "vm0")
+            make_unreachable(node, "vm0")
         for node in self.there:
             if node.vm.vm in self.here.members.by_name:
-                hide(self.here, node.vm.vm)
+                make_unreachable(self.here, node.vm.vm)
             self.fleet.turn_until(lambda node=node: not node.log.is_direct)
 
-    def whole_turn_there(self):
-        """Let a turn end there, and be kept there only."""
+    def complete_turn_there(self):
+        """Complete a turn that only the VMs there hold."""
         answer = self.fleet.take_turn("a", vm=1)
         self.assertTrue(answer.whole)
         self.assertFalse(self.here.journal.known_turn(TURN))
 
-    def go_on_here(self):
-        """Ask for the next turn here; return the status."""
+    def continue_here(self):
+        """Send the next turn to the VM here; return the status."""
         return self.fleet.take_turn("b", previous_turn="a").status
 
 
@@ -79,85 +77,85 @@
     return [member.name for member in node.members.others]
 
 
-def hide(node, name):
-    """Let one VM not reach another."""
+def make_unreachable(node, name):
+    """Make another VM unreachable for a VM."""
     member = node.members.by_name[name]
     node.members.by_name[name] = dataclasses.replace(member, peers=NOWHERE)
 
 
 class ExpiredVmTest(AbsenceCase):
-    """The cut lasts longer than an entry in the list of VMs."""
+    """The partition lasts longer than an entry in the member list."""
 
-    def test_vms_that_expired_are_not_gone(self):
+    def test_expired_vms_may_hold_the_turn(self):
         self.start_there()
-        self.meet()
-        self.cut_off()
-        self.whole_turn_there()
+        self.wait_until_listed()
+        self.isolate_there()
+        self.complete_turn_there()
         self.fleet.turn_until(lambda: not others(self.here))
-        self.assertEqual(503, self.go_on_here())
+        self.assertEqual(503, self.continue_here())
 
-    def test_it_goes_on_when_the_cut_is_over(self):
+    def test_program_continues_after_the_partition(self):
         self.start_there()
-        self.meet()
-        self.cut_off()
-        self.whole_turn_there()
+        self.wait_until_listed()
+        self.isolate_there()
+        self.complete_turn_there()
         self.fleet.turn_until(lambda: not others(self.here))
         for node in self.there:
             node.store._address = self.fleet.store.address
         self.fleet.turn_until(
             lambda: not any(node.journal.held for node in self.there)
         )
-        self.assertEqual(200, self.go_on_here())
+        self.assertEqual(200, self.continue_here())
 
 
 class NewVmTest(AbsenceCase):
-    """VMs that have announced themselves since the list was read."""
+    """VMs announce themselves after the member list was read."""
 
     heartbeat = 60.0
 
-    def test_vms_that_are_not_on_the_list_yet(self):
+    def test_vms_that_are_not_on_the_list_yet_are_asked(self):
         self.there.append(self.fleet.start_vm("there-1", data_center="z2"))
         self.there.append(self.fleet.start_vm("there-2", data_center="z2"))
         newest = self.there[1]
         self.fleet.turn_until(lambda: "there-1" in others(newest))
         for node in self.there:
-            hide(node, "vm0")
+            make_unreachable(node, "vm0")
             node.store._address = NOWHERE
         self.fleet.turn_until(lambda: newest.log.is_broken)
         self.assertTrue(self.fleet.take_turn("a", vm=2).whole)
         self.assertEqual([], others(self.here))
-        self.assertEqual(200, self.go_on_here())
+        self.assertEqual(200, self.continue_here())
 
 
 class OtherProgramTest(AbsenceCase):
     """The turn that is continued belongs to another program.
 
-    Where it stands is told by the log; it is not in the log yet.
+    The log records where the turn stands, but has no such record yet.
     """
 
-    def keep(self, node):
-        """Let a VM keep a copy of a turn of another program."""
+    def store_copy(self, node):
+        """Store a copy of another program's turn on a VM."""
         claim = histories.Claim("author", 16, 1000)
         turn = histories.WholeTurn("p0", "a", claim, None, 4, b"<a>", b"w\n")
         node.journal.keep_copy(histories.encode_record(turn))
 
-    def test_it_is_kept_elsewhere(self):
+    def test_copy_on_another_vm(self):
         self.start_there()
-        self.meet()
-        self.keep(self.there[0])
-        self.assertEqual(200, self.go_on_here())
+        self.wait_until_listed()
+        self.store_copy(self.there[0])
+        self.assertEqual(200, self.continue_here())
 
-    def test_it_is_kept_here(self):
-        self.keep(self.here)
-        self.assertEqual(200, self.go_on_here())
+    def test_copy_on_this_vm(self):
+        self.store_copy(self.here)
+        self.assertEqual(200, self.continue_here())
 
 
 class LeavingVmTest(AbsenceCase):
-    """A VM ends while it keeps what is not in the log."""
+    """A VM stops while it holds a turn that the log lacks."""
 
-    def test_it_stays_on_the_list(self):
+    def test_vm_stays_on_the_list_until_all_is_recorded(self):
         self.start_there()
-        self.meet()
+        self.wait_until_listed()
         leaving = self.there[0]
         self.assertIsInstance(leaving, node_module.FrontNode)
         leaving.journal._held_by_ref[TURN] = mock.Mock()
@@ -170,19 +168,19 @@
 
 
 class UnsettledTest(AbsenceCase):
-    """A VM ends with a turn that was broken off while the log was away.
+    """A VM stops after a turn was broken off while the log was unavailable.
 
-    Found by reading: it waited for whole turns only, and what the turn had
-    handed out was charged nowhere when the VM had gone.
+    A VM that waits for the records of complete turns only would exit, and
+    the tokens that the turn had delivered would not be charged.
     """
 
-    def end(self, budget, origin):
-        """Settle a turn that is no part of the history."""
+    def end_turn(self, budget, origin):
+        """End a turn that is not part of the history."""
         ticket = histories.Ticket("p1", "x", 16, budget, origin)
         self.here.journal.end_turn(ticket, 4)
 
-    def assert_waits(self):
-        """The VM waits until the log has the turn's tokens."""
+    def assert_exit_waits(self):
+        """Check that the VM waits until the log has the turn's tokens."""
         self.assertFalse(self.here.graceful_leave.advance())
         self.fleet.turn_for(0.5)
         self.assertFalse(self.here.graceful_leave.advance())
@@ -191,51 +189,51 @@
         self.fleet.turn_until(self.here.graceful_leave.advance)
         self.assertEqual(4, self.here.journal.charged("p1"))
 
-    def test_tokens_of_a_home_are_recorded_first(self):
+    def test_tokens_spent_at_a_home_are_recorded_first(self):
         self.fleet.store.refuse = 503
-        self.end(100, histories.Origin.HOME)
-        self.assert_waits()
+        self.end_turn(100, histories.Origin.HOME)
+        self.assert_exit_waits()
 
     def test_tokens_of_a_turn_without_a_budget_are_recorded_first(self):
-        """Another turn of the program may have one."""
+        """Another turn of the program may have a budget."""
         self.fleet.store.refuse = 503
-        self.end(None, histories.Origin.RESERVE)
-        self.assert_waits()
+        self.end_turn(None, histories.Origin.RESERVE)
+        self.assert_exit_waits()
 
 
 class RestartedVmTest(AbsenceCase):
-    """A VM that was restarted has forgotten what it kept.
+    """A restarted VM has lost the turns that it held.
 
-    Found by the model of the claim: it has nothing to record, leaves the
-    list at once, and nobody counts it as restarted any more.
+    If it stops again it has nothing to record.  If it then left the member
+    list at once, other VMs would no longer count it as restarted.
     """
 
-    def test_it_does_not_leave_the_list(self):
+    def test_restarted_vm_does_not_leave_the_list(self):
         self.start_there()
-        self.meet()
+        self.wait_until_listed()
         restarted = self.there[0]
         restarted.vm = dataclasses.replace(restarted.vm, first_start=False)
         self.fleet.turn_until(restarted.graceful_leave.advance)
         self.fleet.turn_for(0.5)
         self.assertIn("there-1", others(self.here))
-        self.assertEqual(503, self.go_on_here())
+        self.assertEqual(503, self.continue_here())
 
 
 class RetentionTest(AbsenceCase):
-    """Turns are kept for longer than 65 s, as the configuration says.
+    """The configuration's retention of turns is longer than 65 s.
 
-    A VM counted as one that knows all that began here after 65 s, whatever
-    the retention.  Found by reading.
+    A VM's memory must not count as complete after an uptime of 65 s if the
+    retention is longer.
     """
 
-    def restarted_for(self, seconds):
-        """Let the VM here have been restarted some time ago."""
+    def set_uptime_after_restart(self, seconds):
+        """Make the VM here look as if it restarted some time ago."""
         self.here.vm = dataclasses.replace(self.here.vm, first_start=False)
         self.here._started_at = self.here.timers.now() - seconds
         self.here.members._announced_at = self.here._started_at
 
     def configure(self, retention):
-        """Put a configuration with this retention in force."""
+        """Bring a configuration with this retention into force."""
         configuration = fleet_module.default_configuration(version=2)
         for route in configuration["routes"]:
             if route.get("retention_s"):
@@ -243,49 +241,49 @@
         self.fleet.configure(configuration)
         self.fleet.turn_until(lambda: self.here.configuration.version == 2)
 
-    def test_a_long_retention(self):
+    def test_long_retention(self):
         self.configure(300.0)
-        self.restarted_for(250.0)
-        self.assertEqual(503, self.go_on_here())
-        self.restarted_for(310.0)
-        self.assertEqual(404, self.go_on_here())
+        self.set_uptime_after_restart(250.0)
+        self.assertEqual(503, self.continue_here())
+        self.set_uptime_after_restart(310.0)
+        self.assertEqual(404, self.continue_here())
 
-    def test_a_short_one(self):
+    def test_short_retention(self):
         self.configure(10.0)
-        self.restarted_for(60.0)
-        self.assertEqual(503, self.go_on_here())
-        self.restarted_for(70.0)
-        self.assertEqual(404, self.go_on_here())
+        self.set_uptime_after_restart(60.0)
+        self.assertEqual(503, self.continue_here())
+        self.set_uptime_after_restart(70.0)
+        self.assertEqual(404, self.continue_here())
 
 
 class LateLeaveTest(AbsenceCase):
-    """An entry of leaving comes behind that of the VM's successor."""
+    """The leave of a VM is appended after the entry of its successor."""
 
     heartbeat = 60.0
 
     def read_list(self):
-        """Read what was announced until now."""
-        heard = []
+        """Read all announcements until now."""
+        results = []
         self.here.members.refresh(
-            lambda: heard.append(True), lambda: heard.append(False)
+            lambda: results.append(True), lambda: results.append(False)
         )
-        self.fleet.turn_until(lambda: heard)
-        self.assertEqual([True], heard)
+        self.fleet.turn_until(lambda: results)
+        self.assertEqual([True], results)
 
-    def test_it_does_not_strike_the_successor(self):
+    def test_late_leave_does_not_remove_the_successor(self):
         old = self.fleet.start_vm("there-1", data_center="z2").members
         self.read_list()
         self.assertEqual(["there-1"], others(self.here))
         successor = dataclasses.replace(old.own, incarnation="there-1/next")
-        heard = []
-        old._announce(members._encode(successor), heard.append)
-        self.fleet.turn_until(lambda: heard)
+        results = []
+        old._announce(members._encode(successor), results.append)
+        self.fleet.turn_until(lambda: results)
         old.leave()
         self.fleet.turn_until(lambda: old.has_left)
         self.read_list()
         self.assertEqual(["there-1"], others(self.here))
 
-    def test_it_strikes_its_own(self):
+    def test_leave_removes_the_own_entry(self):
         old = self.fleet.start_vm("there-1", data_center="z2").members
         self.read_list()
         old.leave()
@@ -295,33 +293,34 @@
 
 
 class LateRenewalTest(AbsenceCase):
-    """The renewal of a VM that has left comes late.
+    """The renewal of a VM's entry is appended after its leave.
 
-    It would expire then, and count as not heard for long.
+    A VM that it lists again would expire later and count as unreachable for
+    a long time.
     """
 
-    def test_it_does_not_list_it_again(self):
+    def test_late_renewal_does_not_list_the_vm_again(self):
         self.start_there()
-        self.meet()
+        self.wait_until_listed()
         left = self.there[0].members
         left.leave()
         self.fleet.turn_until(lambda: left.has_left)
-        heard = []
-        left._announce(left.own_entry, heard.append)
-        self.fleet.turn_until(lambda: heard)
+        results = []
+        left._announce(left.own_entry, results.append)
+        self.fleet.turn_until(lambda: results)
         self.fleet.turn_for(1.5)
         self.assertEqual([], self.here.members.absent)
         self.assertNotIn("there-1", others(self.here))
 
 
 class DeadlineTest(AbsenceCase):
-    """The answers that a 404 waits for don't come in time.
+    """The answers that a 404 waits for do not arrive in time.
 
-    Found by a review: each step has its own timeout, and nothing ended them
-    all before a turn had been sent to an upstream.
+    Each step has a timeout of its own; without a deadline for all of them a
+    turn that has not been sent to an upstream would wait for their sum.
     """
 
-    def test_a_turn_is_refused_at_its_deadline(self):
+    def test_turn_is_refused_at_its_deadline(self):
         self.here.members.refresh = lambda on_done, on_error: None
         answer = self.fleet.take_turn(
             "b", previous_turn="a", deadline_ms="500"
@@ -331,18 +330,18 @@
         self.assertEqual({"timed_out_unsent"}, reasons)
 
 
-class OtherTurnsTest(AbsenceCase):
-    """What must go on to work."""
+class MissingTurnTest(AbsenceCase):
+    """Turns that certainly do not exist are answered 404."""
 
-    def test_a_turn_that_never_was(self):
+    def test_turn_that_never_existed(self):
         self.start_there()
-        self.meet()
-        self.assertEqual(404, self.go_on_here())
+        self.wait_until_listed()
+        self.assertEqual(404, self.continue_here())
 
-    def test_after_vms_have_left(self):
+    def test_turn_that_never_existed_after_vms_have_left(self):
         self.start_there()
-        self.meet()
+        self.wait_until_listed()
         for node in self.there:
             self.fleet.turn_until(node.graceful_leave.advance)
         self.fleet.turn_until(lambda: not others(self.here))
-        self.assertEqual(404, self.go_on_here())
+        self.assertEqual(404, self.continue_here())
--- a/postspring/front/tests/test_callers_report.py
+++ b/postspring/front/tests/test_callers_report.py
@@ -1,13 +1,13 @@
-"""What a VM tells of connections that end with something owed."""
+"""Reports of connections that close before their answer is delivered."""
 
 from postspring import metrics
 from postspring.testing.fleet import case
 
 
 class ConnectionReporterTest(case.FleetCase):
-    """One line and one count, with the request's id."""
+    """Such a connection has a log line with the request's id, and a count."""
 
-    def test_a_caller_that_leaves_with_its_request_open(self):
+    def test_caller_that_leaves_with_an_open_request(self):
         self.fleet.tools[0].faults.hang = True
         node = self.fleet.nodes[0]
         counted = []
@@ -29,7 +29,7 @@
         self.assertEqual(0, record.unsent)
         self.assertEqual([{"ended_by": "caller"}], counted)
 
-    def test_it_is_on_the_metrics_page(self):
+    def test_count_is_on_the_metrics_page(self):
         page = metrics.Metrics()
         self.addCleanup(page.close)
         page.cuts.add(1, {"ended_by": "vm"})
--- a/postspring/front/tests/test_carried.py
+++ b/postspring/front/tests/test_carried.py
@@ -1,4 +1,4 @@
-"""Programs whose callers carry the conversation: budget and place."""
+"""Programs whose callers carry the conversation: budgets and placement."""
 
 import dataclasses
 
@@ -23,33 +23,33 @@
         return answer
 
     def settle(self):
-        """Turn the loops until what turns used stands in the log."""
+        """Turn the loops until the log has all tokens that turns used."""
         self.fleet.turn_until(
             lambda: (
                 not any(node.journal.unrecorded for node in self.fleet.nodes)
             )
         )
 
-    def appends(self, topic):
-        """Return the appends to topics whose name begins so."""
+    def append_count(self, topic):
+        """Return the number of appends to topics with a name prefix."""
         prefix = f"{names.LOG_APPEND_PATH} {topic}"
         return sum(call.startswith(prefix) for call in self.fleet.store.calls)
 
 
 class CarriedBudgetTest(CarriedCase):
-    """Budgets hold whoever keeps the history."""
+    """Budgets hold although the caller keeps the history."""
 
-    def test_the_budget_holds_over_vms(self):
-        # Found on the first deployment with such a route: a program that
-        # loops got 4,984 tokens of 864.
-        states = [
+    def test_budget_holds_across_vms(self):
+        # On such a route a looping program got 4,984 tokens of a budget of
+        # 864.
+        statuses = [
             self.take_turn(f"t{n}", vm=n % 2, token_budget="40").status
             for n in range(8)
         ]
-        # 12 tokens a turn; 16 have to be free before one starts.
-        self.assertEqual([200] * 3 + [402] * 5, states)
+        # A turn uses 12 tokens; 16 have to be free before it starts.
+        self.assertEqual([200] * 3 + [402] * 5, statuses)
 
-    def test_it_holds_after_all_vms_were_replaced(self):
+    def test_budget_holds_after_all_vms_are_replaced(self):
         for number in range(3):
             self.take_turn(f"t{number}", token_budget="40")
         for node in list(self.fleet.nodes):
@@ -58,14 +58,14 @@
         answer = self.take_turn("again", token_budget="40")
         self.assertEqual(402, answer.status)
 
-    def test_sub_agents_share_it(self):
-        states = [
+    def test_sub_agents_share_the_budget(self):
+        statuses = [
             self.take_turn(
                 f"t{n}", session_id=f"line{n}", token_budget="40"
             ).status
             for n in range(5)
         ]
-        self.assertEqual([200] * 3 + [402] * 2, states)
+        self.assertEqual([200] * 3 + [402] * 2, statuses)
 
     def test_tokens_of_a_broken_turn_are_charged(self):
         self.fleet.engines[0].faults.cut = 1
@@ -74,7 +74,7 @@
         answer = self.take_turn("b", token_budget="19")
         self.assertEqual(402, answer.status)
 
-    def test_a_turn_that_was_shed_is_not_charged(self):
+    def test_shed_turn_is_not_charged(self):
         self.fleet.engines[0].faults.shed = 99
         answer = self.take_turn("a", token_budget="16")
         self.assertEqual(503, answer.status)
@@ -82,17 +82,17 @@
         answer = self.take_turn("b", token_budget="16")
         self.assertEqual(200, answer.status)
 
-    def test_it_holds_while_the_log_is_away(self):
+    def test_budget_holds_while_the_log_is_unavailable(self):
         self.take_turn("a", token_budget="40")
         self.fleet.store.refuse = 503
-        states = [
+        answers = [
             self.fleet.take_turn(
                 f"t{n}", vm=n % 2, route=self.route, token_budget="40"
             )
             for n in range(6)
         ]
-        served = sum(answer.status == 200 for answer in states)
-        # A budget may be passed by one turn's ceiling, 16 tokens.
+        served = sum(answer.status == 200 for answer in answers)
+        # A budget may be exceeded by one turn's ceiling, 16 tokens.
         self.assertLessEqual(12 * (1 + served), 40 + 16)
         self.fleet.store.refuse = 0
         self.settle()
@@ -102,9 +102,9 @@
 
 
 class CarriedTurnTest(CarriedCase):
-    """What such a turn costs, and what it does not wait for."""
+    """Records that such a turn needs, and what it does not wait for."""
 
-    def test_the_body_is_passed_on_as_it_is(self):
+    def test_body_is_forwarded_unchanged(self):
         self.take_turn("a")
         answer = self.take_turn("b", body=b"all of it")
         self.assertEqual(case.EVENTS, answer.body)
@@ -112,33 +112,33 @@
 
     def test_no_history_is_kept(self):
         self.take_turn("a", body=b"secret")
-        self.assertEqual(0, self.appends(names.LOCATIONS_TOPIC))
+        self.assertEqual(0, self.append_count(names.LOCATIONS_TOPIC))
         node = self.fleet.nodes[0]
         self.assertEqual(0, node.journal.held)
         known = node.journal.known_turn(histories.TurnRef("p1", "a"))
         self.assertIsNone(known)
 
-    def test_the_next_turn_needs_one_record(self):
+    def test_next_turn_needs_one_record(self):
         self.take_turn("a")
-        before = self.appends(names.PROGRAMS_TOPIC[:14])
+        before = self.append_count(names.PROGRAMS_TOPIC[:14])
         self.take_turn("b")
-        after = self.appends(names.PROGRAMS_TOPIC[:14])
+        after = self.append_count(names.PROGRAMS_TOPIC[:14])
         self.assertEqual(1, after - before)
 
-    def test_the_end_of_the_answer_waits_for_no_record(self):
+    def test_end_of_the_answer_waits_for_no_record(self):
         self.take_turn("a")
-        # Its reserve is known; the log hears of the turn's end when it can.
+        # The VM has a reserve; the turn's end is recorded afterwards.
         self.fleet.store.silent = True
         answer = self.fleet.take_turn("b", route=self.route)
         self.assertTrue(answer.whole)
         self.fleet.store.silent = False
 
-    def test_a_turn_that_names_no_budget_is_charged(self):
+    def test_turn_without_a_budget_is_charged(self):
         self.take_turn("a", token_budget="")
         answer = self.take_turn("b", token_budget="19")
         self.assertEqual(402, answer.status)
 
-    def test_a_vm_that_stops_settles_first(self):
+    def test_stopping_vm_settles_first(self):
         answer = self.fleet.take_turn("a", route=self.route, token_budget="40")
         self.assertTrue(answer.whole)
         node = self.fleet.nodes[0]
@@ -147,8 +147,8 @@
         self.assertEqual(0, node.journal.unrecorded)
 
 
-class CarriedPlaceTest(CarriedCase):
-    """A line stays where its prompt is in memory."""
+class CarriedPlacementTest(CarriedCase):
+    """A session stays on the engine that has its prompt in memory."""
 
     engines = 4
 
@@ -160,14 +160,14 @@
                     return engine.id
         return None
 
-    def test_a_line_keeps_its_engine_through_other_vms(self):
+    def test_session_keeps_its_engine_across_vms(self):
         self.take_turn("t0", session_id="s")
         first = self.engine_of("t0")
         for n in range(1, 8):
             self.take_turn(f"t{n}", vm=n % 2, session_id="s")
             self.assertEqual(first, self.engine_of(f"t{n}"))
 
-    def test_it_does_so_after_all_vms_were_replaced(self):
+    def test_session_keeps_its_engine_after_all_vms_are_replaced(self):
         self.take_turn("t0", session_id="s")
         for node in list(self.fleet.nodes):
             self.fleet.stop_vm(node)
@@ -176,18 +176,18 @@
             self.take_turn(f"u{n}", session_id="s")
             self.assertEqual(self.engine_of("t0"), self.engine_of(f"u{n}"))
 
-    def test_a_sub_agent_starts_where_its_program_ran(self):
+    def test_sub_agent_starts_at_the_engine_of_its_program(self):
         self.take_turn("t0", session_id="s")
         for n in range(4):
             self.take_turn(f"u{n}", vm=n % 2, session_id=f"sub{n}")
             self.assertEqual(self.engine_of("t0"), self.engine_of(f"u{n}"))
 
 
-class CutOffCarriedTest(CarriedCase):
-    """A program that spent elsewhere comes to a cut-off data centre.
+class IsolatedCarriedTest(CarriedCase):
+    """A program that has spent tokens comes to an isolated data centre.
 
-    Found by reading: its turns name none before them, so it looked like a
-    program that begins there, and had its whole budget once more.
+    Its turns name no previous turn, so it looked like a new program there and
+    got its whole budget once more.
     """
 
     budget = 100
@@ -201,8 +201,8 @@
                 lambda node=node: len(node.members.others) == 2
             )
 
-    def cut_off(self):
-        """Cut the two VMs of a data centre off."""
+    def isolate_near(self):
+        """Isolate the two VMs of a data centre."""
         near = self.fleet.nodes[:2]
         for node in near:
             node.store._address = NOWHERE
@@ -219,7 +219,7 @@
             )
 
     def spend(self, vm, name):
-        """Take turns until one is not served; return the tokens."""
+        """Take turns until one is refused; return the tokens."""
         for number in range(20):
             answer = self.fleet.take_turn(
                 f"{name}{number}",
@@ -231,13 +231,13 @@
                 return 12 * number
         return 12 * 20
 
-    def test_it_gets_one_turn_more_at_most(self):
+    def test_program_gets_at_most_one_more_turn(self):
         before = self.spend(2, "far")
         self.assertGreater(before, self.budget - self.ceiling - 12)
-        self.cut_off()
+        self.isolate_near()
         after = self.spend(0, "near") + self.spend(1, "next")
         self.assertLessEqual(before + after, self.budget + self.ceiling)
 
-    def test_one_that_begins_there_is_served(self):
-        self.cut_off()
+    def test_program_that_starts_there_is_served(self):
+        self.isolate_near()
         self.assertGreater(self.spend(0, "near"), 0)
--- a/postspring/front/tests/test_handover.py
+++ b/postspring/front/tests/test_handover.py
@@ -160,7 +160,7 @@
         self.assertEqual(1, staying.journal.held)
 
 
-class FoundWhileStoppingTest(StopCase):
+class HolderWhileStoppingTest(StopCase):
     """A VM past its rotation period holds a turn that the log lacks.
 
     Other VMs hold it, too.  The stopping VM answered that it could run the
--- a/postspring/front/tests/test_limits.py
+++ b/postspring/front/tests/test_limits.py
@@ -1,18 +1,18 @@
-"""Workspaces' limits over several VMs, with sockets."""
+"""Rate limits of workspaces across several VMs, with real sockets."""
 
 from postspring.front.tests import test_workspaces
 from postspring.quotas import dealer as dealer_module
 
 RATE = 2.0
 BURST = 4.0
-# Requests in any five seconds.
-MOST = 14
-# Seconds after which a VM deals like any other.
-LONG = dealer_module.SETTLE_SECONDS + 60.0
+# Requests that the limit allows in any five seconds.
+ALLOWED_REQUESTS = 14
+# Seconds on the member list after which a VM allocates quota like any other.
+SETTLED_SECONDS = dealer_module.SETTLE_SECONDS + 60.0
 
 
 class LimitsCase(test_workspaces.WorkspacesCase):
-    """A fleet whose VMs have been on the list for long."""
+    """A fleet whose VMs have been on the member list for long."""
 
     vms = 2
 
@@ -20,8 +20,8 @@
         super().setUp()
         for node in self.fleet.nodes:
             dealer = node.permits._dealer
-            dealer._listed_seconds = lambda: LONG
-            dealer._started_at -= LONG
+            dealer._listed_seconds = lambda: SETTLED_SECONDS
+            dealer._started_at -= SETTLED_SECONDS
         self.configure(
             test_workspaces.with_workspaces(3, rate_per_s=RATE, burst=BURST)
         )
@@ -33,7 +33,7 @@
         )
 
     def call_all(self, count):
-        """Make calls one after the other, by all VMs; return the answers."""
+        """Send calls to all VMs in turn; return the answers."""
         return [
             self.call("safe", f"r{number}", vm=number % self.vms)
             for number in range(count)
@@ -41,45 +41,45 @@
 
 
 class LimitTest(LimitsCase):
-    """What a limit allows, and what it does not."""
+    """Calls that a limit allows and refuses."""
 
-    def test_all_vms_share_one(self):
+    def test_all_vms_share_one_limit(self):
         answers = self.call_all(30)
         served = [item for item in answers if item.status == 200]
-        self.assertEqual(MOST, len(served))
+        self.assertEqual(ALLOWED_REQUESTS, len(served))
         refused = [item for item in answers if item.status != 200]
         for answer in refused:
             self.assertEqual(429, answer.status)
             self.assertGreater(float(answer.headers["retry-after"]), 0.0)
 
-    def test_what_is_refused_did_not_run(self):
+    def test_refused_calls_do_not_run(self):
         answers = self.call_all(20)
         served = sum(item.status == 200 for item in answers)
         self.assertEqual(served, len(self.runs))
 
-    def test_what_is_refused_for_another_reason_does_not_count(self):
+    def test_calls_refused_for_other_reasons_do_not_count(self):
         for tool in self.fleet.tools:
             self.fleet.announce(tool, "tools", "draining")
         directory = self.fleet.nodes[0].directory
         self.fleet.turn_until(lambda: not directory.usable("tools"))
-        for number in range(2 * MOST):
+        for number in range(2 * ALLOWED_REQUESTS):
             answer = self.call("safe", f"n{number}")
             self.assertEqual(503, answer.status)
 
-    def test_turns_of_a_program_that_has_spent_its_budget_do_not(self):
+    def test_turns_over_their_budget_do_not_count(self):
         turn = {"token_budget": "16", "token_usage": "100,16"}
         self.assertEqual(200, self.call("turn", "t0", **turn).status)
-        for number in range(2 * MOST):
+        for number in range(2 * ALLOWED_REQUESTS):
             answer = self.call("turn", f"s{number}", **turn)
             self.assertEqual(402, answer.status)
         self.assertEqual(200, self.call("safe", "after").status)
 
-    def test_another_workspace_is_not_held_up(self):
+    def test_another_workspace_is_not_limited(self):
         self.call_all(20)
         answer = self.call("safe", "o", test_workspaces.OTHER_KEY)
         self.assertEqual(200, answer.status)
 
-    def test_a_higher_limit_serves_at_once(self):
+    def test_higher_limit_takes_effect_at_once(self):
         self.call_all(10)
         self.configure(test_workspaces.with_workspaces(4, rate_per_s=1e6))
         self.fleet.turn_for(1.1)
@@ -87,12 +87,12 @@
         self.assertEqual([200] * 10, [item.status for item in answers])
 
 
-class DealerGoneTest(LimitsCase):
-    """The VM that deals a limit out is killed."""
+class AllocatorFailureTest(LimitsCase):
+    """The VM that allocates a limit's quota is killed."""
 
     vms = 3
 
-    def test_another_one_deals(self):
+    def test_another_vm_allocates(self):
         self.configure(
             test_workspaces.with_workspaces(4, rate_per_s=30, burst=30)
         )
@@ -100,17 +100,17 @@
         node = self.fleet.nodes[0]
         place = node.vm.data_center
         first = node.permits.dealers("acme", place)[0].name
-        gone = next(n for n in self.fleet.nodes if n.vm.vm == first)
-        self.fleet.stop_vm(gone)
+        killed = next(n for n in self.fleet.nodes if n.vm.vm == first)
+        self.fleet.stop_vm(killed)
         self.call("safe", "while", vm=0)
         self.fleet.turn_for(0.3)
         self.assertEqual(200, self.call("safe", "after", vm=0).status)
 
 
 class StartTest(test_workspaces.WorkspacesCase):
-    """All VMs have just started: nobody is settled."""
+    """All VMs have just started."""
 
-    def test_somebody_deals(self):
+    def test_quota_is_allocated_after_a_start(self):
         limited = test_workspaces.with_workspaces(3, rate_per_s=100, burst=4)
         self.configure(limited)
         self.call("safe", "first")
--- a/postspring/front/tests/test_lost_reads.py
+++ b/postspring/front/tests/test_lost_reads.py
@@ -68,7 +68,7 @@
         in_progress = self._in_progress.setdefault(place, set())
         in_progress.add(answer)
         answer.on_end = lambda: in_progress.discard(answer)
-        super().read(place, start, answer.take, on_error, wait)
+        super().read(place, start, answer.deliver, on_error, wait)
 
 
 class _Answer:
@@ -81,7 +81,7 @@
         self.on_end = None
         timers.call_later(store.READ_TIMEOUT_SECONDS + wait, self._give_up)
 
-    def take(self, page):
+    def deliver(self, page):
         """Deliver the answer unless it is lost."""
         if not self.is_lost and self.on_end is not None:
             self._end()
@@ -103,7 +103,7 @@
     slow_seconds = SLOW_SECONDS
 
     def start(self, bound):
-        """Start a VM that knows an upstream and a configuration."""
+        """Start a VM that has read an upstream and a configuration."""
         self.clock = clock_module.VirtualClock()
         self.timers = clock_module.VirtualTimers(
             self.clock, clock_module.VirtualProcess("vm")
--- a/postspring/front/tests/test_out_of_time.py
+++ b/postspring/front/tests/test_out_of_time.py
@@ -1,8 +1,8 @@
-"""A stop whose grace ends while requests are open.
+"""A shutdown whose grace period ends while requests are open.
 
-Seen: a stop that reached the end of its grace ended the process, and what
-was open got no answer.  Cause: only the connection's end was left to tell.
-Proof: each has its final answer in time, and 503 only if it has not run.
+A process that exited at the end of its grace period left open requests
+without an answer.  Each must get its final answer in time, and 503 only if it
+has not run.
 """
 
 from postspring.testing.fleet import case
@@ -11,8 +11,8 @@
 GRACE_USED_SECONDS = 7.5
 
 
-class OutOfTimeTest(case.FleetCase):
-    """What is open gets its final answer."""
+class GraceEndTest(case.FleetCase):
+    """Open requests get their final answers."""
 
     def setUp(self):
         super().setUp()
@@ -24,8 +24,8 @@
         headers = self.fleet.headers("r", TURN)
         self.caller.send("POST", target, headers, body)
 
-    def run_out(self):
-        """Let the grace come to its end; return what the caller has."""
+    def end_grace_period(self):
+        """Let the grace period almost end; return the caller's answer."""
         self.node.shutdown.begin()
         self.node.shutdown._began_at -= GRACE_USED_SECONDS
         with self.assertLogs("postspring.calls", "INFO") as lines:
@@ -33,21 +33,21 @@
         self.lines = lines.records
         return self.caller.answer
 
-    def test_what_may_have_run_is_answered_without_a_promise(self):
+    def test_call_that_may_have_run_is_a_bad_gateway(self):
         tool = self.fleet.tools[0]
         tool.faults.hang = True
         self.send("/once/x")
         self.fleet.turn_until(lambda: tool.runs)
-        answer = self.run_out()
+        answer = self.end_grace_period()
         self.assertEqual((502, True), (answer.status, answer.whole))
         self.fleet.turn_until(lambda: tool.gone)
         self.fleet.turn_until(lambda: self.fleet.stopped)
 
-    def test_what_has_not_run_is_refused_and_never_runs(self):
+    def test_call_that_has_not_run_is_refused_and_never_runs(self):
         self.fleet.store.silent = True
         self.send("/stream/x")
         self.fleet.turn_until(lambda: self.node.callers.active)
-        answer = self.run_out()
+        answer = self.end_grace_period()
         self.assertEqual((503, True), (answer.status, answer.whole))
         self.assertIn("retry-after", answer.headers)
         self.fleet.store.silent = False
@@ -55,37 +55,37 @@
         self.fleet.turn_for(0.3)
         self.assertEqual([], self.fleet.engines[0].runs)
 
-    def test_a_stream_that_has_begun_does_not_look_complete(self):
+    def test_started_stream_does_not_look_complete(self):
         engine = self.fleet.engines[0]
         engine.faults.stop_between = 1
         self.send("/plain-stream/x")
         self.fleet.turn_until(lambda: self.caller.answer.body)
-        answer = self.run_out()
+        answer = self.end_grace_period()
         self.assertFalse(answer.whole)
         self.fleet.turn_until(lambda: engine.gone)
 
-    def test_a_turn_that_waits_for_its_record_is_not_whole(self):
+    def test_turn_that_waits_for_its_record_is_not_complete(self):
         self.fleet.engines[0].event_seconds = 0.1
         self.send("/stream/x")
         self.fleet.turn_until(lambda: self.caller.answer.body)
         self.fleet.store.silent = True
         self.fleet.turn_until(lambda: case.EVENTS == self.caller.answer.body)
-        # The stream's end may come behind its last event.
+        # The stream's end may arrive after its last event.
         journal = self.fleet.nodes[0].journal
         self.fleet.turn_until(lambda: journal.unrecorded)
-        answer = self.run_out()
+        answer = self.end_grace_period()
         self.assertFalse(answer.whole)
         line = self.lines[-1]
         self.assertEqual("broken_off", line.getMessage())
         self.assertEqual("unrecorded", line.reason)
 
 
-class KeptTest(case.FleetCase):
-    """Other VMs keep what the log is waited for."""
+class CopiedTurnTest(case.FleetCase):
+    """Other VMs hold copies of a turn that waits for the log."""
 
     vms = 3
 
-    def test_a_turn_that_others_keep_is_whole(self):
+    def test_turn_with_copies_on_other_vms_is_complete(self):
         node = self.fleet.nodes[0]
         self.fleet.turn_until(lambda: len(node.members.others) == 2)
         caller = self.fleet.caller()
--- a/postspring/front/tests/test_outages.py
+++ b/postspring/front/tests/test_outages.py
@@ -1,37 +1,37 @@
-"""The store is away, for all VMs or for one."""
+"""The store is unavailable to all VMs or to one."""
 
 from postspring.testing.fleet import case
 from postspring.testing.fleet import fleet as fleet_module
 
 
 class StoreOutageTest(case.FleetCase):
-    """The store does not answer."""
+    """The store refuses all calls, or loses answers."""
 
-    def test_plain_calls_go_on(self):
+    def test_plain_calls_are_served(self):
         self.fleet.store.refuse = 503
         answer = self.fleet.call("GET", "/safe/x", "r1")
         self.assertEqual(200, answer.status)
 
-    def test_a_new_program_is_refused_as_not_run(self):
+    def test_new_program_is_refused_as_not_run(self):
         self.fleet.store.refuse = 503
         answer = self.fleet.take_turn("a")
         self.assertEqual(503, answer.status)
         self.assertIn("retry-after", answer.headers)
         self.assertEqual([], self.fleet.engines[0].runs)
 
-    def test_it_goes_on_afterwards(self):
+    def test_turns_are_served_after_the_outage(self):
         self.fleet.store.refuse = 503
         self.fleet.take_turn("a")
         self.fleet.store.refuse = 0
         answer = self.fleet.take_turn("b")
         self.assertTrue(answer.whole)
 
-    def test_lost_answers_of_appends(self):
+    def test_turn_completes_although_answers_of_appends_are_lost(self):
         self.fleet.store.lose_answers = 2
         answer = self.fleet.take_turn("a")
         self.assertTrue(answer.whole)
 
-    def test_a_vm_that_knows_nothing_is_not_ready(self):
+    def test_vm_without_a_configuration_is_not_ready(self):
         self.fleet.store.refuse = 503
         alone = self.fleet.nodes.pop()
         with self.assertRaises(AssertionError):
@@ -42,7 +42,7 @@
 
 
 class HeldTurnTest(case.FleetCase):
-    """The store is away; two VMs can reach each other."""
+    """The store is unavailable; two VMs can reach each other."""
 
     vms = 2
 
@@ -51,13 +51,13 @@
         for node in self.fleet.nodes:
             self.fleet.turn_until(lambda node=node: node.members.others)
 
-    def test_a_new_program_begins(self):
+    def test_new_program_starts(self):
         self.fleet.store.refuse = 503
         answer = self.fleet.take_turn("a")
         self.assertTrue(answer.whole)
         self.assertEqual(case.EVENTS, answer.body)
 
-    def test_it_goes_on_at_the_same_vm(self):
+    def test_program_continues_at_the_same_vm(self):
         self.fleet.store.refuse = 503
         self.fleet.take_turn("a")
         answer = self.fleet.take_turn("b", previous_turn="a")
@@ -65,7 +65,7 @@
         run = self.fleet.engines[0].runs[-1]
         self.assertEqual(b"<a>w1\nw2\nw3\n<b>", run.body)
 
-    def test_another_vm_passes_it_on(self):
+    def test_another_vm_forwards_the_next_turn(self):
         self.fleet.store.refuse = 503
         self.fleet.take_turn("a")
         answer = self.fleet.take_turn("b", vm=1, previous_turn="a")
@@ -73,22 +73,22 @@
         run = self.fleet.engines[0].runs[-1]
         self.assertEqual(b"<a>w1\nw2\nw3\n<b>", run.body)
 
-    def test_a_turn_that_nobody_knows_is_not_said_not_to_exist(self):
+    def test_unknown_turn_is_not_reported_as_missing(self):
         self.fleet.store.refuse = 503
         answer = self.fleet.take_turn("b", previous_turn="x")
         self.assertEqual(503, answer.status)
 
-    def test_the_budget_holds(self):
+    def test_budget_holds_during_the_outage(self):
         self.fleet.store.refuse = 503
-        states = [
+        statuses = [
             self.fleet.take_turn(
                 f"t{number}", vm=number % 2, token_budget="40"
             ).status
             for number in range(6)
         ]
-        self.assertEqual(3, states.count(200))
+        self.assertEqual(3, statuses.count(200))
 
-    def test_the_budget_holds_when_the_store_is_back(self):
+    def test_budget_holds_after_the_outage(self):
         self.fleet.store.refuse = 503
         for number in range(3):
             self.fleet.take_turn(f"t{number}", token_budget="40")
@@ -98,7 +98,7 @@
         answer = self.fleet.take_turn("u", vm=1, token_budget="40")
         self.assertEqual(402, answer.status)
 
-    def test_a_held_turn_is_recorded_when_the_store_is_back(self):
+    def test_held_turn_is_recorded_after_the_outage(self):
         self.fleet.store.refuse = 503
         self.fleet.take_turn("a")
         self.fleet.store.refuse = 0
@@ -110,7 +110,7 @@
         answer = self.fleet.take_turn("b", previous_turn="a")
         self.assertTrue(answer.whole)
 
-    def test_a_held_turn_survives_the_vm_that_answered_it(self):
+    def test_held_turn_survives_the_vm_that_answered_it(self):
         self.fleet.store.refuse = 503
         self.fleet.take_turn("a")
         self.fleet.stop_vm(self.fleet.nodes[0])
@@ -118,14 +118,14 @@
         answer = self.fleet.take_turn("b", previous_turn="a")
         self.assertTrue(answer.whole)
 
-    def test_a_program_under_way_goes_on(self):
+    def test_running_program_continues(self):
         self.fleet.take_turn("a")
         self.fleet.store.refuse = 503
         for number in range(3):
             answer = self.fleet.take_turn(f"b{number}", previous_turn="a")
             self.assertTrue(answer.whole)
 
-    def test_a_silent_store(self):
+    def test_program_continues_while_the_store_is_silent(self):
         self.fleet.take_turn("a")
         self.fleet.store.silent = True
         answer = self.fleet.take_turn("b", previous_turn="a")
@@ -136,9 +136,9 @@
 
 
 class LateStartTest(case.FleetCase):
-    """A VM starts while the store is away."""
+    """A VM starts while the store is unavailable."""
 
-    def test_it_serves_by_what_another_vm_knows(self):
+    def test_late_vm_serves_by_the_view_of_another_vm(self):
         self.fleet.take_turn("a")
         self.fleet.store.refuse = 503
         self.fleet.start_vm("late")
@@ -148,7 +148,7 @@
         answer = self.fleet.take_turn("b", vm=1, previous_turn="a")
         self.assertTrue(answer.whole)
 
-    def test_it_follows_the_store_afterwards(self):
+    def test_late_vm_follows_the_store_afterwards(self):
         self.fleet.store.refuse = 503
         late = self.fleet.start_vm("late")
         self.fleet.store.refuse = 0
@@ -157,7 +157,7 @@
 
 
 class HelpedVmTest(case.FleetCase):
-    """One VM can't reach the store; another one can."""
+    """One VM can't reach the store, and another VM helps it."""
 
     vms = 2
 
@@ -165,21 +165,23 @@
         super().setUp()
         for node in self.fleet.nodes:
             self.fleet.turn_until(lambda node=node: node.members.others)
-        self.cut = self.fleet.nodes[0]
-        self.cut.store._address = ("127.0.0.1", 1)
+        self.unconnected = self.fleet.nodes[0]
+        self.unconnected.store._address = ("127.0.0.1", 1)
 
-    def test_turns_are_recorded_by_way_of_the_other(self):
+    def test_turns_are_recorded_through_the_helper(self):
         self.assertTrue(self.fleet.take_turn("a").whole)
-        self.fleet.turn_until(lambda: not self.cut.log.is_direct)
+        self.fleet.turn_until(lambda: not self.unconnected.log.is_direct)
         answer = self.fleet.take_turn("b", vm=1, previous_turn="a")
         self.assertTrue(answer.whole)
 
-    def test_the_configuration_is_followed(self):
+    def test_configuration_is_read_through_the_helper(self):
         self.fleet.take_turn("a")
         self.fleet.configure(fleet_module.default_configuration(5))
-        self.fleet.turn_until(lambda: self.cut.configuration.version == 5)
+        self.fleet.turn_until(
+            lambda: self.unconnected.configuration.version == 5
+        )
 
-    def test_the_direct_way_is_taken_again(self):
+    def test_store_is_called_directly_again(self):
         self.fleet.take_turn("a")
-        self.cut.store._address = self.fleet.store.address
-        self.fleet.turn_until(lambda: self.cut.log.is_direct)
+        self.unconnected.store._address = self.fleet.store.address
+        self.fleet.turn_until(lambda: self.unconnected.log.is_direct)
--- a/postspring/front/tests/test_placement.py
+++ b/postspring/front/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which engine gets a turn."""
+"""Placement of turns on engines."""
 
 from postspring.testing.fleet import case
 
@@ -17,9 +17,9 @@
                     return engine.id
         return None
 
-    def test_a_line_keeps_its_engine_through_other_vms(self):
-        # Found on tallgrass scale-2: 48% of turns came through another VM
-        # than the one before, and most of those went to another engine.
+    def test_program_keeps_its_engine_across_vms(self):
+        # 48% of turns may arrive at another VM than the previous turn; most
+        # of these went to another engine.
         self.fleet.take_turn("t0")
         first = self.engine_of("t0")
         for number in range(1, 8):
@@ -30,7 +30,7 @@
             )
             self.assertEqual(first, self.engine_of(f"t{number}"))
 
-    def test_it_does_so_after_all_vms_were_replaced(self):
+    def test_program_keeps_its_engine_after_all_vms_are_replaced(self):
         self.fleet.take_turn("t0")
         for node in list(self.fleet.nodes):
             self.fleet.stop_vm(node)
@@ -41,7 +41,7 @@
                 self.engine_of("t0"), self.engine_of(f"u{number}")
             )
 
-    def test_the_pace_of_an_engine_is_noted(self):
+    def test_pace_of_an_engine_is_measured(self):
         for engine in self.fleet.engines:
             engine.events = 6
             engine.event_seconds = 0.01
--- a/postspring/front/tests/test_power_loss.py
+++ b/postspring/front/tests/test_power_loss.py
@@ -1,24 +1,21 @@
 """All VMs lose power while the log is slow.
 
-Seen: run as real processes, one case of a request without an answer or of a
-lost turn.  Simulated with a store that takes a quarter of a second for an
-append, as one may that syncs to a disk, and a loss of power of all VMs at
-the end, each run showed the same: turns that callers had whole reached
-no upstream afterwards, in 15 tries and more.  How it came about: their ends
-had been passed on as kept by other VMs, 0.1 s after the upstream's, and all
-VMs went before the records were written.  Cause: a log that is slow was taken
-for one that is away, for which copies are the only way to go on.  Proof: the
-runs' log lines (``kept`` is ``held`` for each lost turn), and the test here.
+A slow log was taken for an unavailable one.  So 0.1 s after an upstream had
+ended a turn, the VM ended the answer because other VMs held copies of the
+turn, and all VMs lost power before its record was written: turns that callers
+had completely reached no upstream afterwards, in 15 and more tries.  The
+store here takes a quarter of a second for an append, as one that syncs to a
+disk may.
 """
 
 from postspring.testing.fleet import case
 
-# What an append takes on a slow disk, one at a time in each partition.
+# Duration of an append on a slow disk; a partition does one at a time.
 APPEND_SECONDS = 0.25
 
 
 class SlowLogPowerLossTest(case.FleetCase):
-    """What callers had whole is there when all VMs start again."""
+    """Turns that callers got completely survive a loss of power."""
 
     vms = 3
 
@@ -30,7 +27,7 @@
             )
         )
 
-    def test_a_turn_goes_on(self):
+    def test_program_continues(self):
         self.fleet.store.append_seconds = APPEND_SECONDS
         for previous, turn in ((None, "a"), ("a", "b"), ("b", "c")):
             headers = {"previous_turn": previous} if previous else {}
--- a/postspring/front/tests/test_premises.py
+++ b/postspring/front/tests/test_premises.py
@@ -1,12 +1,12 @@
-"""VMs that say they know all turns, and don't.
-
-By reading, and of the shape of what was seen with VMs as real processes (a
-turn that was answered whole is answered 404).  Who starts VMs by hand, or
-with a supervisor, gives them the same settings file each time: it says that
-the system starts for the first time, and a VM that had forgotten what it
-kept was believed.  And a VM that was restarted in a long outage counted as one
-that knows all after a time of its own, before VMs that keep its turns had a
-chance to come back to the list and record them.
+"""A VM's memory must not count as complete while it lacks turns.
+
+A VM that is started by hand or by a supervisor gets the same settings file
+each time.  The file says that the system starts for the first time, so the
+memory of a restarted VM counted as complete.  Also, when a VM restarted
+during a long outage of the log, its memory counted as complete after its
+uptime alone, before the VMs that hold copies of its turns had rejoined the
+member list and recorded them.  Either fault leads to a 404 for a turn that
+was answered completely.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 class FirstStartTest(case.FleetCase):
-    """Two VMs lose power while the store is away, and start again."""
+    """Two VMs lose power while the store is unavailable, and restart."""
 
     vms = 2
 
@@ -26,7 +26,7 @@
         for node in self.fleet.nodes:
             self.fleet.turn_until(lambda node=node: node.members.others)
 
-    def test_the_same_settings_again(self):
+    def test_restart_with_the_same_settings(self):
         self.fleet.store.refuse = 503
         self.assertTrue(self.fleet.take_turn("a").whole)
         for node in list(self.fleet.nodes):
@@ -39,15 +39,15 @@
         answer = self.fleet.take_turn("b", previous_turn="a")
         self.assertEqual(503, answer.status)
 
-    def test_a_first_start_is_believed(self):
+    def test_first_start_has_a_complete_memory(self):
         answer = self.fleet.take_turn("b", previous_turn="a")
         self.assertEqual(404, answer.status)
 
 
 class LongOutageTest(case.FleetCase):
-    """A VM was restarted in an outage that lasts longer than turns."""
+    """A VM restarts in an outage that is longer than the retention."""
 
-    def test_it_knows_all_only_some_time_after_it_is_on_the_list(self):
+    def test_memory_is_complete_some_time_after_joining_the_list(self):
         self.fleet.store.refuse = 503
         late = self.fleet.start_vm("late")
         late.vm = dataclasses.replace(late.vm, first_start=False)
--- a/postspring/front/tests/test_relayed.py
+++ b/postspring/front/tests/test_relayed.py
@@ -1,11 +1,11 @@
-"""Turns that go on from what another VM keeps, with the store away.
+"""Forwarded turns continue a history that another VM holds.
 
-Seen in a trace of a fleet: 6 of 6 such turns were refused
-(journal_unavailable) when they were sent to a VM that lacks the chain, and
-again when they came back soon.  Cause: whoever asked the others had their
-promise to stay back, for half a second, also if it only looked for a VM that
-has the chain; the one that it passed the turn on to asked them next, and was
-told to stay back.  Proof: this test.
+The store is unavailable.  6 of 6 such turns were refused (journal_unavailable)
+when they were sent to a VM that lacks the history, and again when they were
+retried soon.  That VM asked the others which one holds the history, and by
+that got their promise not to run the program for half a second.  The VM that
+it forwarded the turn to asked them next and was refused because of that
+promise.
 """
 
 from postspring import histories
@@ -14,8 +14,8 @@
 PROGRAMS = 4
 
 
-class RelayedTest(case.FleetCase):
-    """One of four VMs keeps the chains."""
+class ForwardedTurnTest(case.FleetCase):
+    """One of four VMs holds the histories."""
 
     vms = 4
 
@@ -26,7 +26,7 @@
                 lambda node=node: len(node.members.others) == self.vms - 1
             )
 
-    def test_the_vm_that_has_the_chain_goes_on(self):
+    def test_vm_that_holds_the_history_runs_the_turn(self):
         self.fleet.store.refuse = 503
         for number in range(PROGRAMS):
             claim = histories.Claim("author", 16, 1000)
@@ -49,12 +49,12 @@
 
 
 class IncompleteHistoryTest(case.FleetCase):
-    """The log has a turn, and nobody has the one before it."""
+    """The log has a turn but not the one before it, nor has any VM."""
 
     vms = 2
 
-    def test_the_caller_hears_what_is_the_matter(self):
-        """Seen: refused as if the log were away, with the log well."""
+    def test_refusal_names_the_missing_turn(self):
+        """It must not be refused as if the log were unavailable."""
         parent = histories.TurnRef("p1", "lost")
         claim = histories.Claim("author", 16, 1000)
         turn = histories.WholeTurn("p1", "a", claim, parent, 4, b"<a>", b"w\n")
--- a/postspring/front/tests/test_reload.py
+++ b/postspring/front/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the settings are read again, and nothing else happens."""
+"""SIGHUP reloads the settings and interrupts nothing."""
 
 import dataclasses
 import json
@@ -16,7 +16,7 @@
 
 
 class ReloadTest(unittest.TestCase):
-    """Found on tallgrass trouble-3 --seed 686084260899: 10 exits, code 129."""
+    """Without a handler, SIGHUP ends the process with status 129."""
 
     def setUp(self):
         self.fleet = fleet_module.Fleet()
@@ -31,26 +31,26 @@
         front_daemon.reload_on_hangup(self.node, environment)
 
     def hang_up(self):
-        """Send the signal; return the lines that it led to."""
+        """Send SIGHUP; return the messages that are logged then."""
         with self.assertLogs("postspring", "INFO") as lines:
             os.kill(os.getpid(), signal.SIGHUP)
             self.fleet.turn_until(lambda: lines.records)
         return [record.getMessage() for record in lines.records]
 
-    def test_the_process_goes_on(self):
+    def test_process_continues(self):
         self.path.write_text(json.dumps(test_settings.RAW))
         self.assertIn("settings read again", self.hang_up())
         answer = self.fleet.call("GET", "/safe/x", "r")
         self.assertEqual(200, answer.status)
 
-    def test_a_file_that_is_wrong_changes_nothing(self):
+    def test_invalid_file_changes_nothing(self):
         self.path.write_text("{")
         before = self.node.vm
         self.assertIn("settings not read", self.hang_up())
         self.assertIs(before, self.node.vm)
 
-    def test_a_file_that_is_being_written_is_read_again(self):
-        """Seen: "settings not read", and the old ones stayed in force."""
+    def test_file_that_is_being_written_is_read_again(self):
+        """A single attempt would leave the old settings in force."""
         self.path.write_text("{")
         self.assertIn("settings not read", self.hang_up())
         self.path.write_text(json.dumps(test_settings.RAW))
@@ -58,21 +58,21 @@
             self.fleet.turn_until(lambda: lines.records)
         self.assertIn("settings read again", lines.output[-1])
 
-    def test_what_may_change_is_in_force(self):
+    def test_changed_settings_take_effect(self):
         changed = dataclasses.replace(self.node.vm, grace=3.0)
         self.node.reconfigure(changed)
         self.assertEqual(3.0, self.node.shutdown.grace)
 
-    def test_what_needs_a_restart_is_not_taken(self):
+    def test_settings_that_need_a_restart_are_not_applied(self):
         changed = dataclasses.replace(
             self.node.vm, callers=("1.2.3.4", 5), grace=3.0
         )
         self.node.reconfigure(changed)
         self.assertNotEqual(("1.2.3.4", 5), self.node.vm.callers)
-        # What else has changed is in force all the same.
+        # Other changed settings take effect all the same.
         self.assertEqual(3.0, self.node.shutdown.grace)
 
-    def test_another_store_cuts_nothing_that_is_under_way(self):
+    def test_change_of_the_store_interrupts_no_request(self):
         caller = self.fleet.caller()
         engine = self.fleet.engines[0]
         engine.event_seconds = 0.1
--- a/postspring/front/tests/test_resumed.py
+++ b/postspring/front/tests/test_resumed.py
@@ -1,26 +1,26 @@
-"""Streams that may be resumed: tried again, and gone on with elsewhere."""
+"""Resumable streams: retried, and continued at another engine."""
 
 from postspring.platform import names
 from postspring.testing.fleet import case
 
 
 class ResumedCase(case.FleetCase):
-    """Two engines; a turn on a route whose streams may be resumed."""
+    """Two engines; turns on a route whose streams may be resumed."""
 
     engines = 2
     route = "resumed-stream"
 
-    def break_all(self, **faults):
-        """Set faults of all engines."""
+    def set_faults(self, **faults):
+        """Set faults on all engines."""
         for engine in self.fleet.engines:
             for name, value in faults.items():
                 setattr(engine.faults, name, value)
 
-    def first_breaks(self, **faults):
-        """Set faults of whichever engine runs the first request."""
+    def set_faults_of_first_engine(self, **faults):
+        """Set faults on the engine that runs the first request only."""
         engines = self.fleet.engines
 
-        def follow():
+        def clear_other_engines():
             ran = [engine for engine in engines if engine.runs]
             if ran:
                 for engine in engines:
@@ -28,14 +28,14 @@
                         for name in faults:
                             setattr(engine.faults, name, 0)
 
-        self.break_all(**faults)
+        self.set_faults(**faults)
         turn = self.fleet.turn
 
-        def turn_and_follow():
+        def turn_and_clear():
             turn()
-            follow()
+            clear_other_engines()
 
-        self.fleet.turn = turn_and_follow
+        self.fleet.turn = turn_and_clear
 
     def take_turn(self, request="a", **headers):
         """Take a turn."""
@@ -46,58 +46,58 @@
         return [run for item in self.fleet.engines for run in item.runs]
 
 
-class BeforeTheFirstEventTest(ResumedCase):
-    """Such a stream may run more than once."""
+class BeforeFirstEventTest(ResumedCase):
+    """Before its first event a resumable stream may be retried."""
 
-    def test_a_lost_answer_is_asked_for_elsewhere(self):
-        self.first_breaks(lose_answer=1)
+    def test_lost_answer_is_requested_elsewhere(self):
+        self.set_faults_of_first_engine(lose_answer=1)
         answer = self.take_turn()
         self.assertEqual((200, True), (answer.status, answer.whole))
         self.assertEqual(case.EVENTS, answer.body)
         self.assertEqual(2, len(self.runs()))
 
-    def test_no_more_engines_than_the_route_allows(self):
-        self.break_all(lose_answer=9)
+    def test_attempts_are_bounded_by_the_route(self):
+        self.set_faults(lose_answer=9)
         answer = self.take_turn()
         self.assertEqual(502, answer.status)
         self.assertEqual(2, len(self.runs()))
 
-    def test_an_engine_that_hangs_is_left(self):
-        self.first_breaks(hang=True)
+    def test_hanging_engine_is_abandoned(self):
+        self.set_faults_of_first_engine(hang=True)
         answer = self.take_turn()
         self.assertEqual((200, True), (answer.status, answer.whole))
         self.assertEqual(1, sum(item.gone for item in self.fleet.engines))
 
 
 class AtMostOnceTest(ResumedCase):
-    """One that may not be resumed runs at most once."""
+    """A stream that may not be resumed runs at most once."""
 
     route = "carried-stream"
 
-    def test_a_lost_answer_is_not_asked_for_again(self):
-        self.break_all(lose_answer=9)
+    def test_lost_answer_is_not_requested_again(self):
+        self.set_faults(lose_answer=9)
         answer = self.take_turn()
         self.assertEqual(502, answer.status)
         self.assertEqual(1, len(self.runs()))
 
-    def test_a_break_ends_the_answer(self):
-        self.break_all(cut_between=1)
+    def test_broken_stream_ends_the_answer(self):
+        self.set_faults(cut_between=1)
         answer = self.take_turn()
         self.assertFalse(answer.whole)
         self.assertEqual(1, len(self.runs()))
 
-    def test_an_engine_that_hangs_is_waited_for(self):
-        self.break_all(hang=True)
+    def test_hanging_engine_is_awaited(self):
+        self.set_faults(hang=True)
         answer = self.take_turn(deadline_ms=1500)
         self.assertEqual(504, answer.status)
         self.assertEqual(1, len(self.runs()))
 
 
-class AfterABreakTest(ResumedCase):
-    """The stream goes on within the same answer."""
+class AfterBreakTest(ResumedCase):
+    """A broken stream continues within the same answer."""
 
     def check(self, answer):
-        """The answer is whole, bears the first seal, and ran twice."""
+        """Check a complete answer with the first seal after two runs."""
         self.assertTrue(answer.whole)
         self.assertEqual(case.EVENTS, answer.body)
         runs = self.runs()
@@ -115,44 +115,44 @@
         self.assertEqual("a", resumed[0].header(names.REQUEST_ID))
         self.assertEqual(b"<a>", resumed[0].body)
 
-    def test_between_two_events(self):
-        self.first_breaks(cut_between=1)
+    def test_break_between_two_events(self):
+        self.set_faults_of_first_engine(cut_between=1)
         self.check(self.take_turn())
 
-    def test_in_the_middle_of_an_event(self):
-        self.first_breaks(cut=1)
+    def test_break_within_an_event(self):
+        self.set_faults_of_first_engine(cut=1)
         self.check(self.take_turn())
 
-    def test_a_stream_that_falls_silent(self):
-        self.first_breaks(stop_between=1)
+    def test_stream_that_goes_silent(self):
+        self.set_faults_of_first_engine(stop_between=1)
         self.check(self.take_turn())
 
-    def test_it_is_charged_once(self):
-        self.first_breaks(cut=1)
+    def test_resumed_stream_is_charged_once(self):
+        self.set_faults_of_first_engine(cut=1)
         self.take_turn("a", token_budget="28")
         self.fleet.turn_until(
             lambda: not self.fleet.nodes[0].journal.unrecorded
         )
-        # 12 tokens; charged twice for the first event, 16 would be left.
+        # Three events of 4 tokens; 16 if the first one were charged twice.
         program = self.fleet.nodes[0].journal.charged("p1")
         self.assertEqual(12, program)
 
-    def test_no_further_than_the_route_allows(self):
-        self.break_all(cut_between=9)
+    def test_resumptions_are_bounded_by_the_route(self):
+        self.set_faults(cut_between=9)
         answer = self.take_turn()
         self.assertFalse(answer.whole)
         self.assertEqual(b"".join(_events(1, 2)), answer.body)
         self.assertEqual(2, len(self.runs()))
 
-    def test_an_engine_that_starts_again_is_not_joined(self):
-        self.first_breaks(cut_between=1)
-        self.break_all(starts_again=True)
+    def test_stream_that_restarts_is_not_joined(self):
+        self.set_faults_of_first_engine(cut_between=1)
+        self.set_faults(starts_again=True)
         answer = self.take_turn()
         self.assertFalse(answer.whole)
         self.assertEqual(b"".join(_events(1)), answer.body)
 
-    def test_engines_that_are_full_end_the_answer(self):
-        self.first_breaks(cut_between=1)
+    def test_full_engines_end_the_answer(self):
+        self.set_faults_of_first_engine(cut_between=1)
         answer = None
         engines = self.fleet.engines
         caller = self.fleet.caller()
@@ -167,18 +167,18 @@
         self.assertEqual(200, answer.status)
 
 
-class CallersOwnResumptionTest(ResumedCase):
-    """A caller goes on after its connection broke."""
+class CallerResumptionTest(ResumedCase):
+    """A caller resumes a stream after its connection broke."""
 
-    def test_the_event_that_it_has_is_passed_on(self):
+    def test_last_event_id_is_forwarded(self):
         answer = self.take_turn("b", last_event_id="2")
         self.assertTrue(answer.whole)
         self.assertEqual(b"".join(_events(3)), answer.body)
         run = self.runs()[0]
         self.assertEqual("2", run.header(names.LAST_EVENT_ID))
 
-    def test_a_break_before_the_first_event_begins_there_again(self):
-        self.first_breaks(lose_answer=1)
+    def test_break_before_the_first_event_resumes_there(self):
+        self.set_faults_of_first_engine(lose_answer=1)
         answer = self.take_turn("b", last_event_id="1")
         self.assertTrue(answer.whole)
         self.assertEqual(b"".join(_events(2, 3)), answer.body)
@@ -187,7 +187,7 @@
             [run.header(names.LAST_EVENT_ID) for run in self.runs()],
         )
 
-    def test_only_what_it_got_is_charged(self):
+    def test_only_delivered_events_are_charged(self):
         self.take_turn("b", last_event_id="2", token_budget="100")
         node = self.fleet.nodes[0]
         self.fleet.turn_until(lambda: not node.journal.unrecorded)
@@ -195,19 +195,19 @@
 
 
 class WeightsTest(ResumedCase):
-    """A stream goes on with the weights that it had, or not at all."""
+    """A stream continues only with the weights that it started with."""
 
-    def test_the_version_of_the_first_engine_is_asked_for(self):
-        self.first_breaks(cut_between=1)
+    def test_weight_version_of_the_first_engine_is_required(self):
+        self.set_faults_of_first_engine(cut_between=1)
         self.take_turn()
         resumed = [
             run for run in self.runs() if run.header(names.LAST_EVENT_ID)
         ]
         self.assertEqual("1", resumed[0].header(names.EXPECTED_VERSION))
 
-    def break_and_change(self, changes):
-        """Break a stream off while some engines get other weights."""
-        self.first_breaks(cut_between=1)
+    def break_and_change_weights(self, changes):
+        """Break a stream off while some engines load other weights."""
+        self.set_faults_of_first_engine(cut_between=1)
         caller = self.fleet.caller()
         headers = self.fleet.headers("a", {"program_id": "p1"})
         for engine in self.fleet.engines:
@@ -219,20 +219,20 @@
         self.fleet.turn_until(lambda: caller.answer.settled)
         return caller.answer
 
-    def test_the_first_engine_goes_on_if_the_others_have_other_weights(self):
-        answer = self.break_and_change(lambda engine: not engine.runs)
+    def test_first_engine_resumes_if_others_have_other_weights(self):
+        answer = self.break_and_change_weights(lambda engine: not engine.runs)
         self.assertTrue(answer.whole)
         self.assertEqual(case.EVENTS, answer.body)
 
     def test_other_weights_are_not_joined(self):
-        answer = self.break_and_change(lambda engine: True)
+        answer = self.break_and_change_weights(lambda engine: True)
         self.assertFalse(answer.whole)
         self.assertEqual(b"".join(_events(1)), answer.body)
-        # It was told apart from an address that another engine has now.
+        # The engine is not taken for another one at its address.
         upstreams = self.fleet.nodes[0].directory.by_id.values()
         self.assertFalse(any(upstream.leaving for upstream in upstreams))
 
-    def test_weights_that_change_within_the_stream(self):
+    def test_weights_that_change_during_the_stream(self):
         for engine in self.fleet.engines:
             engine.events = 4
             engine.new_weights_at = 2
@@ -257,9 +257,9 @@
 
 
 class TooLargeTest(ResumedCase):
-    """A request that no engine has the memory for."""
+    """A request that needs more memory than any engine has."""
 
-    def test_it_is_refused_at_once(self):
+    def test_oversized_request_is_refused_at_once(self):
         # 100,000 tokens fit into an engine of the service.
         answer = self.take_turn(token_usage="99990,16")
         self.assertEqual(503, answer.status)
--- a/postspring/front/tests/test_return.py
+++ b/postspring/front/tests/test_return.py
@@ -1,11 +1,12 @@
-"""Homes of programs when the store is back after an outage.
-
-Found by reading; two VMs and a slow store showed it: of a budget of 100
-tokens, 192 were handed out, 12 of them before the store was back, 96 by the
-log and 84 at a home.  What waited for the store is tried again at the VM's
-share of its rate.  Until its turn in that queue a partition counted as
-failing, and its program's home as the only way, though the store had
-answered this VM for other partitions, and other VMs spent by the log.
+"""Budgets of programs with a home when the store is available again.
+
+After an outage a VM retries its waiting appends at its share of the store's
+rate.  A partition counted as failing until its turn in that queue, although
+the store already answered this VM for other partitions.  So the home went on
+to spend the program's budget by itself while other VMs spent it through the
+log: with two VMs and a slow store, 192 tokens of a budget of 100 were
+delivered, 12 before the store was available, 96 through the log and 84 at
+the home.
 """
 
 import dataclasses
@@ -13,15 +14,16 @@
 from postspring.front.tests import test_absence
 
 BUDGET = 100
-# Three events of four tokens each; a turn may have 16.
-TOKENS_OF_TURN = 12
-MOST_OF_TURN = 16
-# Appends a second; two VMs: what many VMs do to a fast store.
+# A turn has three events of four tokens each; its ceiling is 16.
+TURN_TOKENS = 12
+CEILING = 16
+# Appends a second, low enough for two VMs to use up the rate as many VMs do
+# with a faster store.
 STORE_WRITES = 4
 
 
-class ReturnTest(test_absence.AbsenceCase):
-    """Two VMs; the log was away for both."""
+class ReturningStoreTest(test_absence.AbsenceCase):
+    """Two VMs after an outage of the log for both."""
 
     vms = 2
 
@@ -32,13 +34,13 @@
         ).status
 
     def spend(self, vm, name):
-        """Let turns run at a VM until it gives no more; return tokens."""
+        """Take turns at a VM until one is refused; return the tokens."""
         number = 0
         while self.take(f"{name}{number}", vm) == 200:
             number += 1
-        return TOKENS_OF_TURN * number
+        return TURN_TOKENS * number
 
-    def test_the_budget_is_not_given_twice(self):
+    def test_budget_is_not_spent_twice(self):
         nodes = self.fleet.nodes
         for node in nodes:
             node.vm = dataclasses.replace(node.vm, store_writes=STORE_WRITES)
@@ -55,7 +57,7 @@
         for node in nodes:
             self.fleet.turn_until(lambda node=node: not node.log.is_broken)
         self.fleet.turn_for(2.0)
-        by_log = self.spend(1, "a")
+        through_log = self.spend(1, "a")
         at_home = self.spend(0, "b")
-        tokens = (TOKENS_OF_TURN, by_log, at_home)
-        self.assertLessEqual(sum(tokens), BUDGET + MOST_OF_TURN, tokens)
+        tokens = (TURN_TOKENS, through_log, at_home)
+        self.assertLessEqual(sum(tokens), BUDGET + CEILING, tokens)
--- a/postspring/front/tests/test_shutdown.py
+++ b/postspring/front/tests/test_shutdown.py
@@ -1,14 +1,11 @@
-"""A planned stop cuts no request that has reached the machine.
-
-Seen: run as real processes, one case of a request that ended without an
-answer, or of a turn that was lost, at a deployment whose simulated runs had
-none.  What was cut is not known.  How it can come about: a stop took "no
-request is under way" for "nothing is owed", and looked at neither what the
-kernel holds for the process nor what the process holds for its callers.
-Cause: in a turn of the loop timers run before sockets, so after a pause of
-the process the stop was decided on what had been read before the pause; and
-answers that the caller's window did not take stayed in the buffer of a
-process that ended.  Proof: the tests here, which pause the loop.
+"""A shutdown breaks off no request that has reached the machine.
+
+A shutdown that waited only for the requests in progress ignored bytes that
+the kernel held for the process and bytes that the process held for its
+callers.  The loop runs timers before sockets, so after a pause of the process
+the shutdown was decided on what had been read before the pause; and answers
+beyond a caller's receive window stayed in the buffer of a process that
+exited.  The tests pause the loop to provoke both.
 """
 
 import unittest
@@ -18,24 +15,24 @@
 
 PAUSE_SECONDS = 3.5
 LONG_ANSWER_BYTES = 8_000_000
-# Of the grace of 8 s, the margin for answers being 0.6 s.
+# Into the grace period of 8 s, whose last 0.6 s are for final answers.
 NEAR_END_SECONDS = 7.5
 
 
 def fail():
-    """Fail."""
+    """Raise an error."""
     raise ValueError("the end of a call")
 
 
-class EdgeCase(unittest.TestCase):
+class CallersEdgeCase(unittest.TestCase):
     """A server whose loop is turned by hand."""
 
     def setUp(self):
         self.edge = callers_edge.CallersEdge()
         self.addCleanup(self.edge.close)
 
-    def kept_caller(self):
-        """Return a caller that was answered and keeps its connection."""
+    def connected_caller(self):
+        """Return a caller with an answer and an open connection."""
         caller = self.edge.connect()
         self.edge.ask(caller)
         self.edge.turn_until(lambda: self.edge.calls)
@@ -43,46 +40,46 @@
         self.edge.turn_until(lambda: caller.answer.whole)
         return caller
 
-    def serve_until(self, check):
-        """Answer what comes until something holds."""
+    def answer_until(self, check):
+        """Answer requests until a condition holds."""
 
-        def served():
+        def answer_calls():
             while self.edge.calls:
                 self.edge.calls.pop().respond(503, [])
             return check()
 
-        self.edge.turn_until(served)
+        self.edge.turn_until(answer_calls)
 
 
-class StopTest(EdgeCase):
-    """What a stop may not overlook."""
+class DrainTest(CallersEdgeCase):
+    """Requests and connections that a shutdown must not overlook."""
 
-    def test_a_request_that_came_during_a_pause_is_answered(self):
-        caller = self.kept_caller()
+    def test_request_that_arrives_during_a_pause_is_answered(self):
+        caller = self.connected_caller()
         self.edge.shutdown.begin()
         self.edge.turn()
         self.edge.ask(caller)
         self.edge.pass_time(PAUSE_SECONDS)
-        self.serve_until(lambda: caller.answer.settled)
+        self.answer_until(lambda: caller.answer.settled)
         self.assertTrue(caller.answer.whole)
-        self.serve_until(lambda: self.edge.stopped)
+        self.answer_until(lambda: self.edge.stopped)
 
-    def test_a_connection_that_waits_to_be_accepted_is_served(self):
+    def test_connection_that_waits_to_be_accepted_is_served(self):
         self.edge.shutdown.begin()
         self.edge.turn()
         callers = [self.edge.connect() for _ in range(5)]
         for caller in callers:
             self.edge.ask(caller)
         self.edge.pass_time(PAUSE_SECONDS)
-        self.serve_until(
+        self.answer_until(
             lambda: all(caller.answer.settled for caller in callers)
         )
         self.assertEqual(
             [True] * 5, [caller.answer.whole for caller in callers]
         )
-        self.serve_until(lambda: self.edge.stopped)
+        self.answer_until(lambda: self.edge.stopped)
 
-    def test_an_answer_that_its_caller_reads_late_is_whole(self):
+    def test_answer_that_its_caller_reads_late_is_complete(self):
         caller = self.edge.connect()
         self.edge.ask(caller)
         self.edge.turn_until(lambda: self.edge.calls)
@@ -96,7 +93,7 @@
         self.assertEqual(len(body), len(caller.answer.body))
         self.edge.turn_until(lambda: self.edge.stopped)
 
-    def test_a_connection_that_was_just_opened_is_no_idle_one(self):
+    def test_new_connection_does_not_count_as_idle(self):
         self.edge.shutdown.begin()
         self.edge.turn()
         caller = self.edge.connect()
@@ -104,11 +101,11 @@
         self.edge.turn()
         self.edge.shutdown._check()
         self.edge.ask(caller)
-        self.serve_until(lambda: caller.answer.settled)
+        self.answer_until(lambda: caller.answer.settled)
         self.assertTrue(caller.answer.whole)
-        self.serve_until(lambda: self.edge.stopped)
+        self.answer_until(lambda: self.edge.stopped)
 
-    def test_one_that_asks_nothing_does_not_hold_the_stop_up(self):
+    def test_connection_without_a_request_does_not_delay_the_exit(self):
         self.edge.connect()
         self.edge.turn()
         self.edge.shutdown.begin()
@@ -116,11 +113,11 @@
         self.edge.turn_until(lambda: self.edge.stopped)
 
 
-class GraceTest(EdgeCase):
-    """What is still owed when the grace ends is answered, or told."""
+class GraceTest(CallersEdgeCase):
+    """Open requests at the end of the grace are answered or logged."""
 
     def stop(self):
-        """Let a stop come near the end of its grace; return its lines."""
+        """Stop near the end of the grace; return log records by message."""
         self.edge.shutdown.begin()
         self.edge.turn()
         self.edge.pass_time(NEAR_END_SECONDS)
@@ -128,7 +125,7 @@
             self.edge.turn_until(lambda: self.edge.stopped)
         return {record.getMessage(): record for record in lines.records}
 
-    def test_a_call_that_nobody_answers_is_given_no_promise(self):
+    def test_unanswered_call_is_a_bad_gateway(self):
         caller = self.edge.connect()
         self.edge.ask(caller)
         self.edge.turn_until(lambda: self.edge.calls)
@@ -136,8 +133,8 @@
         self.assertEqual(502, caller.answer.status)
         self.assertTrue(caller.answer.whole)
 
-    def test_a_call_whose_end_fails_keeps_no_other_from_its_own(self):
-        """By reading: the first one that raised ended the round."""
+    def test_failing_handler_does_not_affect_other_calls(self):
+        """The first handler that raised prevented all later ones."""
         callers = [self.edge.connect() for _ in range(3)]
         for caller in callers:
             self.edge.ask(caller)
@@ -156,14 +153,14 @@
             [False, True, True], [caller.answer.whole for caller in callers]
         )
 
-    def test_what_was_never_read_whole_has_not_run(self):
+    def test_partially_read_request_is_refused_as_not_run(self):
         caller = self.edge.connect()
         caller.send_raw(b"POST / HTTP/1.1\r\nHost: a\r\n")
         self.edge.turn()
         self.stop()
         self.assertTrue(caller.received.startswith(b"HTTP/1.1 503"))
 
-    def test_a_caller_that_does_not_read_is_named(self):
+    def test_unsent_bytes_are_logged(self):
         caller = self.edge.connect()
         self.edge.ask(caller)
         self.edge.turn_until(lambda: self.edge.calls)
@@ -173,14 +170,14 @@
         self.assertGreater(line.unsent, 0)
         self.assertEqual("WARNING", line.levelname)
 
-    def test_records_that_the_log_lacks_are_told(self):
+    def test_unrecorded_records_are_logged(self):
         self.edge.is_recorded = False
         line = self.stop()["stopped"]
         self.assertEqual(1, line.unrecorded)
         self.assertEqual("WARNING", line.levelname)
 
-    def test_a_stop_that_owes_nothing_warns_of_nothing(self):
-        self.kept_caller()
+    def test_clean_shutdown_logs_no_warning(self):
+        self.connected_caller()
         self.edge.shutdown.begin()
         self.edge.pass_time(PAUSE_SECONDS)
         with self.assertLogs("postspring.front", "INFO") as lines:
@@ -189,17 +186,16 @@
         self.assertIs(shutdown.Phase.ENDED, self.edge.shutdown.phase)
 
 
-class LingeringStopTest(EdgeCase):
-    """A VM past its rotation that something still holds up.
+class DelayedExitTest(CallersEdgeCase):
+    """A slow caller delays the exit of a VM past its rotation period.
 
-    Seen: two of three VMs of a data centre stopped, each held up by a slow
-    caller.  The balancer uses all VMs of a data centre of which fewer than
-    half are ready, so a turn came to these two again and again and was
-    refused in six tries of six, within 0.6 s.  Cause: a VM that refuses
-    everything still listened.  Proof: the runs' lines, and the test here.
+    The balancer uses all VMs of a data centre of which fewer than half are
+    ready.  While two of three VMs were stopping, each delayed by a slow
+    caller, and still listened, a turn was sent to these two again and again
+    and was refused in six of six tries, within 0.6 s.
     """
 
-    def test_new_connections_go_elsewhere_at_once(self):
+    def test_new_connections_are_refused_at_once(self):
         slow = self.edge.connect()
         self.edge.ask(slow)
         self.edge.turn_until(lambda: self.edge.calls)
@@ -211,8 +207,8 @@
         with self.assertRaises(ConnectionRefusedError):
             self.edge.connect()
         self.assertFalse(self.edge.stopped)
-        self.serve_until(lambda: slow.answer.settled)
+        self.answer_until(lambda: slow.answer.settled)
         self.assertTrue(slow.answer.whole)
-        self.serve_until(lambda: waiting.answer.settled)
+        self.answer_until(lambda: waiting.answer.settled)
         self.assertTrue(waiting.answer.whole)
-        self.serve_until(lambda: self.edge.stopped)
+        self.answer_until(lambda: self.edge.stopped)
--- a/postspring/front/tests/test_silence.py
+++ b/postspring/front/tests/test_silence.py
@@ -1,33 +1,35 @@
-"""Open connections fall silent for good, and new ones work."""
+"""Open connections go silent for good while new ones work."""
 
 from postspring import keyedlog
 from postspring.testing.fleet import case
 from postspring.testing.fleet import fleet as fleet_module
 from postspring.testing.fleet import silence
 
-# Within this time a new configuration is in force, in seconds.
+# Within this time a new configuration has to be in force, in seconds.
 BOUND = 2.0
 
 
 class SilenceCase(case.FleetCase):
-    """Keeps several connections open everywhere before they fall silent."""
+    """Helpers for tests in which open connections go silent."""
 
     def seconds_until_configured(self, node, version):
-        """Return after how long a VM has a new configuration."""
-        began = self.fleet.timers.now()
+        """Return how long a VM takes to apply a new configuration."""
+        started_at = self.fleet.timers.now()
         configuration = fleet_module.default_configuration(version)
         self.fleet.configure(configuration)
         self.fleet.turn_until(lambda: node.configuration.version == version)
-        return self.fleet.timers.now() - began
+        return self.fleet.timers.now() - started_at
 
     def seconds(self, method, target, request, **headers):
         """Return the status of a call and how long it took."""
-        began = self.fleet.timers.now()
+        started_at = self.fleet.timers.now()
         answer = self.fleet.call(method, target, request, **headers)
-        return answer.status, self.fleet.timers.now() - began
+        return answer.status, self.fleet.timers.now() - started_at
 
-    def send_at_once(self, count, method="GET", target="/safe/x", **headers):
-        """Send some calls at once, each on a connection of its own."""
+    def send_concurrently(
+        self, count, method="GET", target="/safe/x", **headers
+    ):
+        """Send calls concurrently, each on its own connection."""
         callers = [self.fleet.caller() for _ in range(count)]
         for number, caller in enumerate(callers):
             fields = self.fleet.headers(f"at-once-{number}", headers)
@@ -42,7 +44,7 @@
     """The only VM's connections to the store."""
 
     def take_turns(self, count, prefix):
-        """Take turns of different programs at once."""
+        """Take turns of different programs concurrently."""
         callers = [self.fleet.caller() for _ in range(count)]
         for number, caller in enumerate(callers):
             fields = {
@@ -57,7 +59,7 @@
         )
         return [caller.answer.whole for caller in callers]
 
-    def test_the_configuration_comes_within_its_bound(self):
+    def test_configuration_takes_effect_within_its_bound(self):
         self.take_turns(8, "p")
         node = self.fleet.nodes[0]
         self.assertGreater(silence.silence(self.fleet.store._server), 3)
@@ -65,7 +67,7 @@
             seconds = self.seconds_until_configured(node, version)
             self.assertLess(seconds, BOUND, version)
 
-    def test_turns_go_on(self):
+    def test_turns_are_served_again(self):
         self.take_turns(8, "p")
         silence.silence(self.fleet.store._server)
         self.fleet.turn_for(1.5)
@@ -77,8 +79,8 @@
 class UpstreamTest(SilenceCase):
     """Connections to a tool."""
 
-    def test_one_call_finds_it_out_and_the_next_ones_go_on(self):
-        self.send_at_once(6)
+    def test_calls_after_the_first_one_are_served(self):
+        self.send_concurrently(6)
         tool = self.fleet.tools[0]
         self.assertGreater(silence.silence(tool._server), 3)
         self.fleet.call("GET", "/safe/x", "first", deadline_ms="600")
@@ -94,56 +96,55 @@
 
     vms = 2
 
-    def lose_direct_way(self):
-        """Cut a VM off from the store; return it, and its helper."""
-        cut, helper = self.fleet.nodes
+    def disconnect_from_store(self):
+        """Disconnect a VM from the store; return it and its helper."""
+        disconnected, helper = self.fleet.nodes
         for node in self.fleet.nodes:
             self.fleet.turn_until(lambda node=node: node.members.others)
-        cut.store._address = ("127.0.0.1", 1)
-        cut._peer_http.discard(self.fleet.store.address)
+        disconnected.store._address = ("127.0.0.1", 1)
+        disconnected._peer_http.discard(self.fleet.store.address)
         self.fleet.turn_for(3.0)
-        return cut, helper
+        return disconnected, helper
 
-    def test_the_configuration_comes_within_its_bound(self):
-        cut, helper = self.lose_direct_way()
+    def test_configuration_takes_effect_within_its_bound(self):
+        disconnected, helper = self.disconnect_from_store()
         self.assertGreater(silence.silence(helper.peers), 0)
         for version in (5, 6, 7):
-            seconds = self.seconds_until_configured(cut, version)
+            seconds = self.seconds_until_configured(disconnected, version)
             self.assertLess(seconds, BOUND, version)
 
-    def check_silence_at_a_read(self, subject):
-        """The helper falls silent just when it is asked for a subject."""
-        cut, helper = self.lose_direct_way()
-        through = cut.log._through
-        fallen = []
+    def check_silence_at_read(self, subject):
+        """Check a helper that goes silent at a read of a subject."""
+        disconnected, helper = self.disconnect_from_store()
+        through = disconnected.log._through
+        silenced = []
 
-        def fall_silent_first(member):
+        def silence_at_first_read(member):
             log = through(member)
             read = log.read
 
-            def read_silently(place, *arguments):
-                if place.subject is subject and not fallen:
-                    fallen.append(silence.silence(helper.peers))
+            def read_and_silence(place, *arguments):
+                if place.subject is subject and not silenced:
+                    silenced.append(silence.silence(helper.peers))
                 read(place, *arguments)
 
-            log.read = read_silently
+            log.read = read_and_silence
             return log
 
-        cut.log._through = fall_silent_first
-        self.fleet.turn_until(lambda: fallen)
-        seconds = self.seconds_until_configured(cut, 5)
+        disconnected.log._through = silence_at_first_read
+        self.fleet.turn_until(lambda: silenced)
+        seconds = self.seconds_until_configured(disconnected, 5)
         self.assertLess(seconds, BOUND)
 
-    def test_it_does_so_if_the_helper_falls_silent_as_it_is_asked(self):
-        # Found as a test that failed now and then, whatever the load: a VM
-        # that was late was avoided for 1 s, and for one more when the call
-        # to it ended at last; with one helper that came to 2.2 s.
-        self.check_silence_at_a_read(keyedlog.Subject.CONFIGURATION)
+    def test_helper_that_goes_silent_at_the_read(self):
+        # A late helper was avoided for 1 s, and for 1 s more when the call
+        # to it ended at last; with a single helper that came to 2.2 s.
+        self.check_silence_at_read(keyedlog.Subject.CONFIGURATION)
 
-    def test_another_call_that_hangs_does_not_keep_the_helper_away(self):
-        # Found by the test above in one of two whole runs (2.5 s): a call
-        # for another subject hung as well, ended later, and did the same.
-        self.check_silence_at_a_read(keyedlog.Subject.UPSTREAMS)
+    def test_hanging_call_for_the_upstreams_does_not_block_the_helper(self):
+        # A call for another subject hung as well, ended later, and made the
+        # VM avoid its helper once more; that came to 2.5 s.
+        self.check_silence_at_read(keyedlog.Subject.UPSTREAMS)
 
-    def test_nor_does_one_for_the_list_of_vms(self):
-        self.check_silence_at_a_read(keyedlog.Subject.MEMBERS)
+    def test_hanging_call_for_the_member_list_does_not_block_the_helper(self):
+        self.check_silence_at_read(keyedlog.Subject.MEMBERS)
--- a/postspring/front/tests/test_sizes.py
+++ b/postspring/front/tests/test_sizes.py
@@ -1,11 +1,10 @@
-"""Turns that are large, before a store that bounds its records and calls.
-
-By reading, and of the shape of what was seen with VMs as real processes (a
-turn that was answered whole reaches no upstream): after an outage a VM sent
-all that waited for a partition in one call.  The store refuses a call that
-is too large, each time; so nothing got into that partition any more, and
-after 120 s the records were given up.  One turn that is larger than a record
-may be did the same to all turns beside it.
+"""Large turns and a store that limits the sizes of records and calls.
+
+After an outage a VM appended all records that waited for a partition in one
+call.  The store refused that call as too large at each retry, so the
+partition got no records any more, and the VM dropped them after 120 s.  One
+turn above the limit of a record did the same to all turns in its call.  Turns
+that were answered completely then reached no upstream.
 """
 
 from unittest import mock
@@ -14,12 +13,12 @@
 from postspring.testing.fleet import case
 
 BODY_BYTES = 200_000
-# More than two calls take.
+# More than fit into two calls.
 TURNS = 12
 
 
 class OutageTest(case.FleetCase):
-    """Large turns end while the store is away; two VMs."""
+    """Large turns end while the store is unavailable to two VMs."""
 
     vms = 2
 
@@ -28,7 +27,7 @@
         for node in self.fleet.nodes:
             self.fleet.turn_until(lambda node=node: node.members.others)
 
-    def test_all_are_recorded_afterwards(self):
+    def test_all_turns_are_recorded_afterwards(self):
         self.fleet.store.refuse = 503
         for number in range(TURNS):
             body = b"%d" % number * BODY_BYTES
@@ -41,27 +40,27 @@
 
 
 class LargeTurnTest(case.FleetCase):
-    """A turn that is larger than a record may be."""
+    """A turn that exceeds the limit of a record."""
 
-    def test_it_is_refused_before_it_runs(self):
+    def test_oversized_turn_is_refused_before_it_runs(self):
         answer = self.fleet.take_turn("a", body=b"x" * 300_000)
         self.assertEqual(503, answer.status)
         self.assertEqual([], self.fleet.engines[0].runs)
 
-    def test_it_does_not_hold_up_others(self):
+    def test_oversized_turn_does_not_block_others(self):
         self.fleet.take_turn("a", body=b"x" * 300_000)
         self.assertTrue(self.fleet.take_turn("b").whole)
 
-    def test_one_that_keeps_no_history_runs(self):
+    def test_oversized_turn_without_history_runs(self):
         body = b"x" * 300_000
         answer = self.fleet.take_turn("a", body=body, route="carried-stream")
         self.assertTrue(answer.whole)
 
 
 class LargeAnswerTest(case.FleetCase):
-    """What comes out of a turn does not fit into its record any more."""
+    """A turn's output makes its record exceed the limit."""
 
-    def test_it_is_broken_off_and_holds_up_nobody(self):
+    def test_turn_is_broken_off_and_blocks_no_other(self):
         with mock.patch.object(sizes, "OUTPUT_BYTES", 4):
             largest = self.fleet.nodes[0].journal.sizes.input
             answer = self.fleet.take_turn("a", body=b"x" * largest)
--- a/postspring/front/tests/test_turns.py
+++ b/postspring/front/tests/test_turns.py
@@ -79,7 +79,7 @@
     vms = 2
 
     def append_count(self):
-        """Return the number of append_count to programs' records so far."""
+        """Return the number of appends to programs' records so far."""
         prefix = f"{names.LOG_APPEND_PATH} {names.PROGRAMS_TOPIC[:14]}"
         return sum(call.startswith(prefix) for call in self.fleet.store.calls)
 
--- a/postspring/front/tests/test_unrecorded.py
+++ b/postspring/front/tests/test_unrecorded.py
@@ -1,15 +1,14 @@
-"""Turns that ran whole and can be neither recorded nor kept by others.
+"""Complete turns that can neither be recorded nor copied to other VMs.
 
-By reading, and of the shape of what was seen with VMs as real processes (a
-request that was read ended without an answer): 15 s of trying to have a turn
-kept ended without a word, and its caller's answer never ended at all.
+After 15 s the attempts to copy such a turn ended without a result, and the
+answer to its caller never ended.
 """
 
 from postspring.testing.fleet import case
 
 
-class AloneTest(case.FleetCase):
-    """The only VM; the store goes away while a turn runs."""
+class SingleVmTest(case.FleetCase):
+    """The only VM; the store becomes unavailable while a turn runs."""
 
     def setUp(self):
         super().setUp()
@@ -18,7 +17,7 @@
         self.engine.event_seconds = 0.05
 
     def start_turn(self, **headers):
-        """Let a turn begin; the store is away before it ends."""
+        """Start a turn; the store is unavailable before it ends."""
         caller = self.fleet.caller()
         fields = {
             "program_id": "p1",
@@ -32,13 +31,13 @@
         self.fleet.turn_until(lambda: case.EVENTS == caller.answer.body)
         return caller
 
-    def test_its_answer_ends_at_the_deadline_and_not_as_whole(self):
+    def test_answer_ends_incomplete_at_the_deadline(self):
         caller = self.start_turn(deadline_ms="700")
         self.fleet.turn_until(lambda: caller.answer.settled)
         self.assertFalse(caller.answer.whole)
         self.assertTrue(caller.answer.closed)
 
-    def test_it_is_whole_if_the_store_is_back_in_time(self):
+    def test_answer_is_complete_if_the_store_returns_in_time(self):
         caller = self.start_turn(deadline_ms="3000")
         self.fleet.turn_for(0.3)
         self.assertFalse(caller.answer.settled)
@@ -46,7 +45,7 @@
         self.fleet.turn_until(lambda: caller.answer.settled)
         self.assertTrue(caller.answer.whole)
 
-    def test_it_is_recorded_all_the_same(self):
+    def test_turn_is_recorded_afterwards(self):
         caller = self.start_turn(deadline_ms="700")
         self.fleet.turn_until(lambda: caller.answer.settled)
         self.fleet.store.refuse = 0
@@ -54,7 +53,7 @@
         answer = self.fleet.take_turn("b", previous_turn="a")
         self.assertTrue(answer.whole)
 
-    def test_it_is_charged_once(self):
+    def test_turn_is_charged_once(self):
         caller = self.start_turn(deadline_ms="700")
         self.fleet.turn_until(lambda: caller.answer.settled)
         self.fleet.store.refuse = 0
@@ -62,7 +61,7 @@
         program = self.node.journal._partitions.program("p1")
         self.assertEqual(12, program.settled)
 
-    def test_a_caller_that_leaves_meanwhile(self):
+    def test_turn_is_recorded_although_its_caller_left(self):
         caller = self.start_turn(deadline_ms="700")
         caller.close()
         self.fleet._callers.remove(caller)
--- a/postspring/front/tests/test_without_entry.py
+++ b/postspring/front/tests/test_without_entry.py
@@ -1,4 +1,4 @@
-"""What is told of a send to an upstream whose entry has lapsed."""
+"""Log lines of calls that are sent to an upstream without an entry."""
 
 from postspring.testing.fleet import case
 
@@ -6,18 +6,18 @@
 
 
 class WithoutEntryTest(case.FleetCase):
-    """An entry lapsed while the log was away; the log is back."""
+    """Entries lapsed during an outage that is over."""
 
-    def line(self, request):
-        """Return the log line of a call."""
+    def call_log_record(self, request):
+        """Return the log record of a call."""
         with self.assertLogs(LOGGER, "INFO") as logs:
             self.fleet.call("GET", "/safe/x", request)
         return logs.records[-1]
 
-    def test_the_line_says_so(self):
+    def test_log_line_counts_sends_without_an_entry(self):
         directory = self.fleet.nodes[0].directory
-        self.assertFalse(hasattr(self.line("a"), "without_entry"))
+        self.assertFalse(hasattr(self.call_log_record("a"), "without_entry"))
         directory.tolerate_missing(directory._now() + 60.0)
         for tool in self.fleet.tools:
             directory.withdraw(tool.id)
-        self.assertEqual(1, self.line("b").without_entry)
+        self.assertEqual(1, self.call_log_record("b").without_entry)
--- a/postspring/front/upstream_watch.py
+++ b/postspring/front/upstream_watch.py
@@ -86,7 +86,7 @@
     def _report_unreadable(
         self, upstream: upstreams.UpstreamId, error
     ) -> None:
-        """Count an unreadable entry; log the first one in a row."""
+        """Count an unreadable entry; log an upstream's first in a row."""
         self._on_unreadable()
         if upstream in self._unreadable:
             return
