--- a/postspring/front/tests/test_out_of_time.py
+++ b/postspring/front/tests/test_out_of_time.py
@@ -33,7 +33,7 @@
         self.lines = lines.records
         return self.caller.answer
 
-    def test_call_that_may_have_run_is_a_bad_gateway(self):
+    def test_call_that_may_have_run_gets_bad_gateway(self):
         tool = self.fleet.tools[0]
         tool.faults.hang = True
         self.send("/once/x")
--- a/postspring/front/tests/test_placement.py
+++ b/postspring/front/tests/test_placement.py
@@ -18,7 +18,7 @@
         return None
 
     def test_program_keeps_its_engine_across_vms(self):
-        # 48% of turns may arrive at another VM than the previous turn; most
+        # 48% of turns arrived at another VM than the previous turn, and most
         # of these went to another engine.
         self.fleet.take_turn("t0")
         first = self.engine_of("t0")
--- a/postspring/front/tests/test_plain_calls.py
+++ b/postspring/front/tests/test_plain_calls.py
@@ -129,7 +129,7 @@
         self.assertIn("retry-after", answer.headers)
         self.assertEqual(0, self.total_runs())
 
-    def test_refusal_that_may_have_run_is_a_bad_gateway(self):
+    def test_refusal_that_may_have_run_gets_bad_gateway(self):
         self.set_faults(busy_status=503)
         answer = self.fleet.call("POST", "/once/x", "r1", b"x")
         self.assertEqual(502, answer.status)
--- a/postspring/front/tests/test_resumed.py
+++ b/postspring/front/tests/test_resumed.py
@@ -17,7 +17,7 @@
                 setattr(engine.faults, name, value)
 
     def set_faults_of_first_engine(self, **faults):
-        """Set faults on the engine that runs the first request only."""
+        """Set faults only on the engine that runs the first request."""
         engines = self.fleet.engines
 
         def clear_other_engines():
--- a/postspring/front/tests/test_shutdown.py
+++ b/postspring/front/tests/test_shutdown.py
@@ -125,7 +125,7 @@
             self.edge.turn_until(lambda: self.edge.stopped)
         return {record.getMessage(): record for record in lines.records}
 
-    def test_unanswered_call_is_a_bad_gateway(self):
+    def test_unanswered_call_gets_bad_gateway(self):
         caller = self.edge.connect()
         self.edge.ask(caller)
         self.edge.turn_until(lambda: self.edge.calls)
