--- a/postspring/coordination/__init__.py
+++ b/postspring/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""Coordination: the owner's decisions, its messages and refusals."""
+"""Coordination: how a slot's owner schedules the calls of its programs."""
 
 from postspring.coordination.effects import Append
 from postspring.coordination.effects import CancelAttempt
--- a/postspring/coordination/admission.py
+++ b/postspring/coordination/admission.py
@@ -1,4 +1,4 @@
-"""What the configuration and a program's state let an owner take."""
+"""Admission control: which calls an owner accepts."""
 
 from postspring import configuration
 from postspring.coordination import desk
@@ -14,22 +14,22 @@
 
 
 class Admission:
-    """Judges calls; changes nothing but a call's worst case.
+    """Decides whether calls are accepted, and bounds their cost.
 
     Parameters
     ==========
 
-    shared : OwnerDesk
-        What the parts of an owner share.
+    context : OwnerContext
+        State that the parts of the owner share.
     """
 
-    def __init__(self, shared: desk.OwnerDesk):
-        self._desk = shared
+    def __init__(self, context: desk.OwnerContext):
+        self._desk = context
 
-    def fault(
+    def refusal_reason(
         self, state: runtime.ProgramRuntime, message: messages.CallProgram
     ) -> Reason | None:
-        """Return why a call can't be taken at all, or None."""
+        """Return the reason to refuse a call on arrival, or None."""
         program = state.program
         tip = state.tip
         if not program.live:
@@ -41,7 +41,7 @@
         follows = message.step == tip.step + 1
         if follows and message.parent not in (None, tip.digest):
             return Reason.PARENT_MISMATCH
-        if self._desk.held_bytes > self._desk.limits.held_bytes:
+        if self._desk.held_bytes > self._desk.limits.max_held_bytes:
             return Reason.HELD_TURNS_FULL
         service = self._desk.configuration.services.get(program.service)
         if service is None:
@@ -71,8 +71,9 @@
     ) -> refusals.Ran:
         """Return whether a call that is refused may have run earlier.
 
-        At the end of a program a call may have been under way: one that
-        may not be repeated has its intent open, of others nobody knows.
+        The next call may have been running when its program ended.  If it
+        may not be repeated, its intent is then open; a repeatable call has
+        no such record, so the answer is always ``UNKNOWN``.
         """
         program = state.program
         if program.live or message.step != state.tip.step + 1:
@@ -83,13 +84,15 @@
             return refusals.Ran.UNKNOWN
         return refusals.Ran.NOT_RUN
 
-    def price(
+    def set_cost_bound(
         self, state: runtime.ProgramRuntime, call: runtime.Call
     ) -> Reason | None:
-        """Set the call's worst case; return why it can't be run, or None."""
+        """Set the call's cost bound; return the reason to refuse, or None."""
         message = call.message
         if message.kind is programs.CallKind.TOOL:
-            call.bound = self._desk.configuration.tools[message.target].price
+            call.cost_bound = self._desk.configuration.tools[
+                message.target
+            ].price
         if message.kind is not programs.CallKind.MODEL:
             return None
         model = self._desk.configuration.models[message.target]
@@ -97,11 +100,11 @@
         max_tokens = self.max_tokens(message)
         if tokens + max_tokens > model.context_tokens:
             return Reason.CONTEXT_TOO_LONG
-        call.bound = pricing.worst_case(model, tokens, max_tokens)
+        call.cost_bound = pricing.model_cost_bound(model, tokens, max_tokens)
         return None
 
     def max_tokens(self, message: messages.CallProgram) -> int:
-        """Return the bound on tokens that a model call generates."""
+        """Return the upper bound of the tokens that a call generates."""
         model = self._desk.configuration.models[message.target]
         return min(message.max_tokens or model.max_tokens, model.max_tokens)
 
--- a/postspring/coordination/attempt_flow.py
+++ b/postspring/coordination/attempt_flow.py
@@ -1,4 +1,4 @@
-"""Attempts: from the wait for an upstream to the answer."""
+"""Attempts of calls: queueing, grants, answers and retries."""
 
 import dataclasses
 import itertools
@@ -22,23 +22,23 @@
 
 
 class AttemptFlow:
-    """Grants attempts, takes their answers, retries what broke.
+    """Grants attempts, records their answers, retries failed ones.
 
     Parameters
     ==========
 
-    shared : OwnerDesk
-        What the parts of an owner share.
+    context : OwnerContext
+        State that the parts of the owner share.
     """
 
-    def __init__(self, shared: desk.OwnerDesk):
-        self._desk = shared
-        self._numbers = itertools.count(1)
+    def __init__(self, context: desk.OwnerContext):
+        self._desk = context
+        self._attempt_numbers = itertools.count(1)
 
     def submit(
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
     ) -> None:
-        """Let a call that is secured in the log wait for an upstream."""
+        """Queue a call for an upstream; its cost is already reserved."""
         call.enter(CallState.WAITING, now)
         if call.attempts == 0:
             self._desk.retry_budget.deposit()
@@ -62,7 +62,7 @@
         return ""
 
     def assign(self, now: float) -> None:
-        """Grant attempts to the calls that got an upstream."""
+        """Grant attempts to the calls that the pool assigns."""
         for assignment in self._desk.pool.assign(now):
             state = self._desk.runtime_by_program.get(assignment.ticket.key)
             if state is None or state.active is None:
@@ -79,7 +79,7 @@
         upstream: Any,
         now: float,
     ) -> None:
-        call.attempt = next(self._numbers)
+        call.attempt = next(self._attempt_numbers)
         call.attempts += 1
         call.upstream = upstream.id
         if call.message.kind is programs.CallKind.MODEL:
@@ -98,8 +98,9 @@
     def _choose_runner(self, call: runtime.Call) -> effects.ReplyTo | None:
         """Return the waiter that runs the attempt, None for this VM.
 
-        Model answers stream through the VM that has the caller; short
-        answers of tools and services come to the owner.
+        A model call runs on a VM that has a caller connected, as that VM
+        streams the answer.  Calls of tools and services, whose answers are
+        short, run on the owner's VM.
         """
         if call.message.kind is not programs.CallKind.MODEL:
             return None
@@ -112,7 +113,7 @@
         slot = self._desk.slot_of(state.program.id)
         tip = state.tip
         epoch, sequence = call.intent or (None, None)
-        fields = self._grant_for_kind(state, message)
+        fields = self._grant_fields(state, message)
         return messages.Grant(
             attempt=call.attempt,
             slot=slot.number,
@@ -127,13 +128,13 @@
             upstream=upstream.id,
             address=upstream.address,
             priority=state.program.priority,
-            cost_bound=call.bound,
+            cost_bound=call.cost_bound,
             intent_epoch=epoch,
             intent_sequence=sequence,
             **fields,
         )
 
-    def _grant_for_kind(
+    def _grant_fields(
         self, state: runtime.ProgramRuntime, message: messages.CallProgram
     ) -> dict[str, Any]:
         service = self._desk.configuration.services[state.program.service]
@@ -162,15 +163,15 @@
     def finish(
         self, message: messages.FinishAttempt, to: effects.ReplyTo, now: float
     ) -> None:
-        """Record an attempt's turn, whoever the attempt belongs to."""
+        """Record an attempt's turn, even one that a former owner granted."""
         turn = message.turn
         slot = self._desk.slot_of(turn.program)
         state = self._desk.state_of(turn.program)
         if state is None:
             return self._desk.reply_not_owner(slot, to)
-        call = self._attempt_of(message.attempt, state)
+        call = self._running_call(message.attempt, state)
         if call is not None:
-            self.forget(call)
+            self.release_upstream(call)
             state.active = None
             self._desk.turns.commit(
                 state,
@@ -189,23 +190,27 @@
         call: runtime.Call,
         turn: ownership.Turn,
     ) -> ownership.Turn:
-        """Return the turn with money reserved ahead for further calls."""
+        """Return the turn with a reservation for further calls added."""
         service = self._desk.configuration.services.get(state.program.service)
         if call.intent is not None or service is None:
             return turn
-        left = state.spendable - turn.cost
-        top_up = max(0, service.calls_ahead * call.bound - left)
+        left = state.available_allowance - turn.cost
+        top_up = max(0, service.calls_ahead * call.cost_bound - left)
         fits = state.program.account.fits(top_up)
         return dataclasses.replace(turn, top_up=top_up if fits else 0)
 
-    def set_aside(
+    def abandon_active(
         self, state: runtime.ProgramRuntime, call: runtime.Call
     ) -> None:
-        """Give up the active call; what is running may still cost."""
+        """Give up the active call, without a reply to its waiters.
+
+        A running attempt may still incur its cost, so its cost bound is
+        added to ``lost_cost`` unless an intent reserves it.
+        """
         if call.state is CallState.RUNNING:
-            self.forget(call)
+            self.release_upstream(call)
             if call.intent is None:
-                state.lost_cost += call.bound
+                state.lost_cost += call.cost_bound
         else:
             call.abandoned = True
             self._desk.pool.withdraw(call.message.target, state.program.id)
@@ -214,12 +219,12 @@
     def lose(
         self, message: messages.LoseAttempt, to: effects.ReplyTo, now: float
     ) -> None:
-        """Take note that an attempt broke."""
+        """Handle the report of a failed attempt."""
         state = self._desk.state_of(message.program)
         if state is None:
             slot = self._desk.slot_of(message.program)
             return self._desk.reply_not_owner(slot, to)
-        call = self._attempt_of(message.attempt, state)
+        call = self._running_call(message.attempt, state)
         if call is None:
             turn = state.turn_at(message.step)
             if turn is not None:
@@ -239,27 +244,29 @@
         reason: str,
         now: float,
     ) -> None:
-        """Retry a broken attempt, or answer that its outcome is unknown."""
-        self.forget(call, failed=reason != "peer_lost", now=now)
+        """Retry a failed attempt, or end its call if that is not possible."""
+        self.release_upstream(call, failed=reason != "peer_lost", now=now)
         call.excluded = call.excluded | {call.upstream}
         if call.intent is not None and sent:
-            return self._outcome_unknown(state, call, now)
+            return self._record_unknown(state, call, now)
         call.enter(CallState.QUEUED, now)
         if sent:
             call.may_have_run = True
-            state.lost_cost += call.bound
+            state.lost_cost += call.cost_bound
         if not call.waiters and call.intent is None:
             state.active = None
             return self._desk.calls.advance(state, now)
         if not self._may_retry(state, call, now):
             if call.intent is not None:
                 self.append_abort(state, call)
-            return self._desk.drop(state, call, Reason.UPSTREAM_FAILED)
+            return self._desk.refuse_active(
+                state, call, Reason.UPSTREAM_FAILED
+            )
         self._desk.retries_by_reason[reason] += 1
-        short = call.bound - state.spendable
-        if call.intent is not None or short <= 0:
+        shortfall = call.cost_bound - state.available_allowance
+        if call.intent is not None or shortfall <= 0:
             return self.submit(state, call, now)
-        self._desk.calls.log_reserve(state, call, short, now)
+        self._desk.calls.append_reserve(state, call, shortfall, now)
 
     def _may_retry(
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
@@ -281,12 +288,12 @@
             call.excluded = frozenset()
         return self._desk.retry_budget.take()
 
-    def _outcome_unknown(
+    def _record_unknown(
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
     ) -> None:
         slot = self._desk.slot_of(state.program.id)
         if state.program.open_intent is None:
-            return self._desk.drop(state, call, Reason.SUPERSEDED)
+            return self._desk.refuse_active(state, call, Reason.SUPERSEDED)
         turn = turns.abandoned_intent_turn(
             slot, state.program, call.message.request
         )
@@ -303,7 +310,7 @@
     def append_abort(
         self, state: runtime.ProgramRuntime, call: runtime.Call
     ) -> None:
-        """Promise in the log that an intent is never dispatched."""
+        """Append that the call of an intent is never dispatched."""
         self._desk.append(
             ownership.Abort,
             self._desk.slot_of(state.program.id).number,
@@ -311,7 +318,7 @@
             intent_sequence=call.intent[1],
         )
 
-    def _attempt_of(
+    def _running_call(
         self, attempt: int, state: runtime.ProgramRuntime
     ) -> runtime.Call | None:
         call = state.active
@@ -319,8 +326,11 @@
             return None
         return call if call.state is CallState.RUNNING else None
 
-    def forget(
+    def release_upstream(
         self, call: runtime.Call, *, failed: bool = False, now: float = 0.0
     ) -> None:
-        """Give back the room that an attempt took; ``now`` if it failed."""
+        """Free the place that an attempt occupies at its upstream.
+
+        ``now`` is needed only for a failed attempt.
+        """
         self._desk.pool.release(call.upstream, failed=failed, now=now)
--- a/postspring/coordination/call_flow.py
+++ b/postspring/coordination/call_flow.py
@@ -1,4 +1,4 @@
-"""Calls at their owner, from the request to the log."""
+"""Calls at their owner: arrival, queueing, intents and reservations."""
 
 from postspring.coordination import desk
 from postspring.coordination import effects
@@ -18,23 +18,23 @@
 
 
 class CallFlow:
-    """Takes calls, keeps them in order, and secures them in the log.
+    """Accepts calls, queues them by step, logs intents and reservations.
 
     Parameters
     ==========
 
-    shared : OwnerDesk
-        What the parts of an owner share.
+    context : OwnerContext
+        State that the parts of the owner share.
     """
 
-    def __init__(self, shared: desk.OwnerDesk):
-        self._desk = shared
+    def __init__(self, context: desk.OwnerContext):
+        self._desk = context
 
     def call(
         self, message: messages.CallProgram, to: effects.ReplyTo, now: float
     ) -> None:
-        """Answer a call from history, refuse it, or put it in its place."""
-        state = self._desk.find(message.program, to)
+        """Answer a call from history, refuse it, or queue it."""
+        state = self._desk.find_or_refuse(message.program, to)
         if state is None:
             return
         self._desk.active_at_by_program[message.program] = now
@@ -42,17 +42,17 @@
             self._desk.turns.adopt(state, receipt, now)
         if self._answer_from_history(state, message, to, now):
             return
-        fault = self._desk.admission.fault(state, message)
-        if fault is Reason.TOO_MANY_CALLS and self._desk.log_up:
+        reason = self._desk.admission.refusal_reason(state, message)
+        if reason is Reason.TOO_MANY_CALLS and self._desk.log_up:
             self._desk.lifecycle.append_end(
                 state, programs.EndReason.TOO_MANY_CALLS, None
             )
-        if fault is not None:
+        if reason is not None:
             return self._desk.refuse(
                 to,
-                fault,
+                reason,
                 self._desk.admission.ran_before(state, message),
-                limits.retry_for(fault),
+                limits.retry_after_ms(reason),
             )
         if self._join(state, message, to):
             return
@@ -69,7 +69,7 @@
         to: effects.ReplyTo,
         now: float,
     ) -> bool:
-        """Give a repeated call its first answer; return whether it is one."""
+        """Reply to a call whose step or key has a turn; return whether so."""
         if message.key:
             turn = state.turn_with_key(message.key)
             if turn is not None:
@@ -95,7 +95,7 @@
         message: messages.CallProgram,
         to: effects.ReplyTo,
     ) -> bool:
-        """Attach a repeated request to the same call, if it is under way."""
+        """Handle a request whose call is queued or active, if there is one."""
         call = state.queue_by_step.get(message.step)
         if call is None and state.active is not None:
             if state.active.message.step == message.step:
@@ -104,7 +104,7 @@
             return False
         same_key = call.message.key == message.key
         if call.abandoned:
-            self._desk.refuse_log(to)
+            self._desk.refuse_log_unavailable(to)
         elif call.message.digest != message.digest or not same_key:
             self._desk.refuse(to, Reason.STEP_CONFLICT)
         else:
@@ -120,17 +120,17 @@
             return
         del state.queue_by_step[call.message.step]
         if call.message.parent not in (None, state.tip.digest):
-            return self._desk.refuse_all(call, Reason.PARENT_MISMATCH)
+            return self._desk.refuse_waiters(call, Reason.PARENT_MISMATCH)
         state.active = call
         self._start(state, call, now)
 
     def _intent_cleared(
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
     ) -> bool:
-        """Return whether no open intent stands before the call.
+        """Return whether no open intent blocks the call.
 
-        A former owner's open intent is closed as unknown once its outcome
-        had time to come in; whoever asks for that call gets that answer.
+        A former owner's open intent is closed as unknown after
+        ``outcome_grace``; a request for the same call gets that answer.
         """
         intent = state.program.open_intent
         if intent is None or state.pending:
@@ -152,30 +152,30 @@
         self._desk.turns.commit(state, turn, waiters, now)
         if call.message.step in state.queue_by_step:
             del state.queue_by_step[call.message.step]
-            self._desk.refuse_all(call, Reason.STEP_CONFLICT)
+            self._desk.refuse_waiters(call, Reason.STEP_CONFLICT)
         return False
 
     def _start(
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
     ) -> None:
-        """Secure what the call needs in the log, then let it wait its turn."""
+        """Log the call's intent or reservation, then queue it."""
         message = call.message
-        fault = self._desk.admission.price(state, call)
-        if fault is not None:
-            return self._desk.drop(state, call, fault)
+        reason = self._desk.admission.set_cost_bound(state, call)
+        if reason is not None:
+            return self._desk.refuse_active(state, call, reason)
         if not self._desk.pool.usable(message.target, now):
-            return self._desk.drop(state, call, Reason.NO_UPSTREAM)
+            return self._desk.refuse_active(state, call, Reason.NO_UPSTREAM)
         if not self._desk.admission.repeatable(message):
             return self._log_intent(state, call, now)
-        short = call.bound - state.spendable
-        if short <= 0:
+        shortfall = call.cost_bound - state.available_allowance
+        if shortfall <= 0:
             return self._desk.attempts.submit(state, call, now)
-        self.log_reserve(state, call, short, now)
+        self.append_reserve(state, call, shortfall, now)
 
     def _log_intent(
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
     ) -> None:
-        if not self._log_usable(state, call, call.bound):
+        if not self._check_reservation(state, call, call.cost_bound):
             return
         call.enter(CallState.LOGGING, now)
         record = self._desk.append(
@@ -185,11 +185,13 @@
             step=call.message.step,
             key=call.message.key,
             request_digest=call.message.digest,
-            amount=call.bound,
+            amount=call.cost_bound,
+        )
+        self._desk.add_verdict_callback(
+            record, self._on_intent_verdict, state, call, record
         )
-        self._desk.on_verdict(record, self._intent_judged, state, call, record)
 
-    def _intent_judged(
+    def _on_intent_verdict(
         self,
         state: runtime.ProgramRuntime,
         call: runtime.Call,
@@ -208,35 +210,37 @@
             call.intent = (record.epoch, record.sequence)
             self._desk.attempts.submit(state, call, now)
         elif not call.abandoned:
-            self._logging_failed(state, call, verdict)
+            self._refuse_by_verdict(state, call, verdict)
         if call.abandoned and state.active is call:
             state.active = None
         self.advance(state, now)
 
-    def log_reserve(
+    def append_reserve(
         self,
         state: runtime.ProgramRuntime,
         call: runtime.Call,
-        short: int,
+        shortfall: int,
         now: float,
     ) -> None:
-        """Reserve money in the log, then let the call wait its turn."""
-        if not self._log_usable(state, call, short):
+        """Log a reservation, then queue the call for an upstream."""
+        if not self._check_reservation(state, call, shortfall):
             return
         service = self._desk.configuration.services[state.program.service]
-        ahead = (service.calls_ahead - 1) * call.bound
-        if not state.program.account.fits(short + ahead):
+        ahead = (service.calls_ahead - 1) * call.cost_bound
+        if not state.program.account.fits(shortfall + ahead):
             ahead = 0
         call.enter(CallState.LOGGING, now)
         record = self._desk.append(
             ownership.Reserve,
             self._desk.slot_of(state.program.id).number,
             program=state.program.id,
-            amount=short + ahead,
+            amount=shortfall + ahead,
+        )
+        self._desk.add_verdict_callback(
+            record, self._on_reserve_verdict, state, call
         )
-        self._desk.on_verdict(record, self._reserve_judged, state, call)
 
-    def _reserve_judged(
+    def _on_reserve_verdict(
         self,
         state: runtime.ProgramRuntime,
         call: runtime.Call,
@@ -249,22 +253,22 @@
         elif verdict.counted:
             self._desk.attempts.submit(state, call, now)
         else:
-            self._logging_failed(state, call, verdict)
+            self._refuse_by_verdict(state, call, verdict)
         self.advance(state, now)
 
-    def _log_usable(
+    def _check_reservation(
         self, state: runtime.ProgramRuntime, call: runtime.Call, amount: int
     ) -> bool:
-        """Return whether ``amount`` can be reserved; drop the call if not."""
+        """Return whether ``amount`` can be reserved; refuse if it can't."""
         if not state.program.account.fits(amount):
-            self._desk.drop(state, call, Reason.OVER_BUDGET)
+            self._desk.refuse_active(state, call, Reason.OVER_BUDGET)
             return False
         if not self._desk.log_up:
-            self._desk.drop(state, call, Reason.LOG_UNAVAILABLE)
+            self._desk.refuse_active(state, call, Reason.LOG_UNAVAILABLE)
             return False
         return True
 
-    def _logging_failed(
+    def _refuse_by_verdict(
         self,
         state: runtime.ProgramRuntime,
         call: runtime.Call,
@@ -277,7 +281,7 @@
         }
         reason = reason_by_verdict.get(verdict)
         if reason is not None:
-            return self._desk.drop(state, call, reason)
+            return self._desk.refuse_active(state, call, reason)
         state.active = None
         for to in call.waiters:
             self._desk.reply_not_owner(
@@ -285,11 +289,11 @@
             )
 
     def expire(self, state: runtime.ProgramRuntime, now: float) -> None:
-        """Refuse calls whose deadline has passed or that the log stalls."""
+        """Refuse calls past their deadline or the log's timeout."""
         for step, call in list(state.queue_by_step.items()):
             if now >= call.deadline:
                 del state.queue_by_step[step]
-                self._desk.refuse_all(call, Reason.DEADLINE_EXCEEDED)
+                self._desk.refuse_waiters(call, Reason.DEADLINE_EXCEEDED)
         call = state.active
         if call is None or call.abandoned:
             return
@@ -298,7 +302,7 @@
             self._desk.pool.withdraw(call.message.target, state.program.id)
             if call.intent is not None:
                 self._desk.attempts.append_abort(state, call)
-            self._desk.drop(state, call, Reason.DEADLINE_EXCEEDED)
+            self._desk.refuse_active(state, call, Reason.DEADLINE_EXCEEDED)
         elif call.state is CallState.LOGGING and (
             now >= call.deadline
             or (
@@ -306,16 +310,16 @@
                 and waited > self._desk.limits.log_timeout
             )
         ):
-            # Its record may still count, but this owner never dispatches
-            # it: only so may the caller be told that it did not run.
+            # The record may still count.  This owner must then not dispatch
+            # the call, as the refusal says that it did not run.
             call.abandoned = True
-            self._desk.refuse_all(call, Reason.LOG_UNAVAILABLE)
+            self._desk.refuse_waiters(call, Reason.LOG_UNAVAILABLE)
 
-    def leave_slot(self, number: int, now: float) -> None:
-        """Send everyone who waits for a slot that was lost to its owner.
+    def abandon_slot(self, number: int, now: float) -> None:
+        """Redirect the waiters of a lost slot to its new owner.
 
-        Attempts under way go on: whoever runs one hands its turn to the
-        new owner.  Turns that were appended are still judged.
+        Running attempts continue, and the VM that runs one sends its turn
+        to the new owner.  Turns already appended may still count.
         """
         slot = self._desk.fold.slot_by_number[number]
         for program_id in slot.program_by_id:
@@ -326,17 +330,17 @@
             if state.active is not None:
                 calls.append(state.active)
             for call in calls:
-                self._leave_call(state, call, now)
+                self._abandon_call(state, call, now)
             state.active = None
             state.queue_by_step.clear()
 
-    def _leave_call(
+    def _abandon_call(
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
     ) -> None:
         call.abandoned = True
         self._desk.pool.withdraw(call.message.target, state.program.id)
         if call.state is CallState.RUNNING:
-            self._desk.attempts.forget(call)
+            self._desk.attempts.release_upstream(call)
         for to in call.waiters:
             self._desk.reply_not_owner(
                 self._desk.slot_of(state.program.id), to
--- a/postspring/coordination/desk.py
+++ b/postspring/coordination/desk.py
@@ -1,4 +1,4 @@
-"""What the parts of an owner share: state, replies, appends."""
+"""State and helpers that the parts of an owner share."""
 
 import collections
 from collections.abc import Callable
@@ -15,34 +15,34 @@
 from postspring import ownership
 from postspring import scheduling
 
-__all__ = ["OwnerDesk"]
+__all__ = ["OwnerContext"]
 
 Reason = refusals.RefusalReason
 Ran = refusals.Ran
 
 
-class OwnerDesk:
+class OwnerContext:
     """State and helpers that the parts of one owner share.
 
     Explanation
     ===========
 
-    Whatever the owner wants done is added to ``effects``; its host takes
-    them from there.
+    The parts add what they want executed to ``effects``, and the host takes
+    it from there through the owner.
 
     Parameters
     ==========
 
     vm, incarnation : str
-        This VM, and this start of it.
+        Name of the VM, and the id of this start of its process.
     data_center : str
         The data centre whose slots these are.
     fold : StreamFold
-        The slots as the log tells them.
+        State of the slots, as folded from the log.
     pool : UpstreamPool
-        Upstreams and the calls that wait for them.
+        Upstreams, and the calls that are queued for them.
     bounds : OwnerLimits
-        Bounds and delays.
+        Limits and timeouts.
     """
 
     def __init__(
@@ -70,9 +70,10 @@
         self.active_at_by_program: dict[str, float] = {}
         self.engines_by_program: dict[str, set[str]] = {}
         self.claimed_at_by_slot: dict[int, float] = {}
-        self.on_verdict_by_identity: dict[tuple, Callable] = {}
+        self.verdict_callback_by_identity: dict[tuple, Callable] = {}
         self.sequence_by_slot: dict[int, tuple[int, int]] = {}
-        # The parts find each other here; the owner sets them.
+        # The parts of the owner call each other through these references,
+        # which the owner sets.
         self.lifecycle: Any = None
         self.admission: Any = None
         self.calls: Any = None
@@ -100,7 +101,7 @@
             self.runtime_by_program[program_id] = state
         return state
 
-    def find(
+    def find_or_refuse(
         self, program_id: str, to: effects.ReplyTo
     ) -> runtime.ProgramRuntime | None:
         """Return a program's runtime, or refuse and return None."""
@@ -120,7 +121,7 @@
     def append(
         self, record_type: type, slot_number: int, **fields: Any
     ) -> Any:
-        """Append a sequenced record of a slot that is owned here."""
+        """Append a sequenced record to a slot that this VM owns."""
         slot = self.fold.slot_by_number[slot_number]
         epoch, last = self.sequence_by_slot.get(slot_number, (0, 0))
         if epoch != slot.epoch:
@@ -133,21 +134,21 @@
         self.effects.append(effects.Append(record))
         return record
 
-    def on_verdict(
+    def add_verdict_callback(
         self, record: Any, function: Callable, *arguments: Any
     ) -> None:
-        """Call ``function(*arguments, verdict, now)`` once it is judged."""
+        """Call ``function(*arguments, verdict, now)`` on its verdict."""
         callback = functools.partial(function, *arguments)
-        self.on_verdict_by_identity[record.identity] = callback
+        self.verdict_callback_by_identity[record.identity] = callback
 
     def reply(self, to: effects.ReplyTo, message: Any) -> None:
-        """Answer a request."""
+        """Reply to a request."""
         self.effects.append(effects.Reply(to, message))
 
     def reply_not_owner(
         self, slot: ownership.SlotState | None, to: effects.ReplyTo
     ) -> None:
-        """Send whoever asked to the owner of a slot."""
+        """Redirect a request to the owner of a slot, if it has one."""
         owner = None if slot is None or slot.released else slot.owner
         self.reply(to, messages.NotOwner(owner=owner))
 
@@ -170,21 +171,25 @@
             ),
         )
 
-    def refuse_log(self, to: effects.ReplyTo) -> None:
-        """Refuse a request because the log is out."""
+    def refuse_log_unavailable(self, to: effects.ReplyTo) -> None:
+        """Refuse a request because the log is unavailable."""
         reason = Reason.LOG_UNAVAILABLE
-        self.refuse(to, reason, retry_after_ms=limits.retry_for(reason))
+        self.refuse(to, reason, retry_after_ms=limits.retry_after_ms(reason))
 
-    def refuse_all(self, call: runtime.Call, reason: Reason) -> None:
-        """Refuse a call to all who wait for it."""
+    def refuse_waiters(self, call: runtime.Call, reason: Reason) -> None:
+        """Refuse all requests that wait for a call."""
         waiters = call.waiters
         call.waiters = []
-        ran = refusals.Ran.UNKNOWN if self._begun_before(call) else call.ran
+        ran = (
+            refusals.Ran.UNKNOWN
+            if self._has_earlier_intent(call)
+            else call.ran
+        )
         for to in waiters:
-            self.refuse(to, reason, ran, limits.retry_for(reason))
+            self.refuse(to, reason, ran, limits.retry_after_ms(reason))
 
-    def _begun_before(self, call: runtime.Call) -> bool:
-        """Return whether another owner has an open intent of the call."""
+    def _has_earlier_intent(self, call: runtime.Call) -> bool:
+        """Return whether the log has an earlier open intent of the call."""
         slot = self.slot_of(call.message.program)
         program = slot.program_by_id.get(call.message.program)
         intent = None if program is None else program.open_intent
@@ -192,9 +197,9 @@
             return False
         return (intent.epoch, intent.sequence) != call.intent
 
-    def drop(
+    def refuse_active(
         self, state: runtime.ProgramRuntime, call: runtime.Call, reason: Reason
     ) -> None:
-        """Give up the active call: it will not be dispatched again."""
+        """Refuse the active call, which is not dispatched again."""
         state.active = None
-        self.refuse_all(call, reason)
+        self.refuse_waiters(call, reason)
--- a/postspring/coordination/effects.py
+++ b/postspring/coordination/effects.py
@@ -1,4 +1,4 @@
-"""What the owner asks its host to do: typed outputs of a pure core."""
+"""Effects: typed outputs of the owner, which its host executes."""
 
 import dataclasses
 from typing import Any
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplyTo:
-    """Who asked: a VM, and its number for the request."""
+    """Destination of a reply: a VM, and its number for the request."""
 
     vm: str
     request: int
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer a request."""
+    """Send a message as the reply to a request."""
 
     to: ReplyTo
     message: Any
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop an attempt that runs on ``vm``; its program has ended."""
+    """Cancel an attempt that runs on ``vm``, as its program ends."""
 
     vm: str
     program: str
@@ -58,16 +58,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyTurn:
-    """Give copies of a turn to other VMs: the log does not take it yet."""
+    """Replicate to other VMs a turn that is not in the log yet."""
 
     turn: Any
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleaseCache:
-    """Have engines drop what they hold of a program that is gone.
+    """Release what engines cache for a program that has ended.
 
-    ``fencing`` is the epoch of the slot's owner.
+    ``fencing`` is the epoch of the slot's owner, used as fencing token.
     """
 
     program: str
--- a/postspring/coordination/lifecycle.py
+++ b/postspring/coordination/lifecycle.py
@@ -1,4 +1,4 @@
-"""Programs at their owner: creation, reading, the end."""
+"""Creation, reading and end of programs at their owner."""
 
 from postspring import configuration
 from postspring.coordination import desk
@@ -24,17 +24,17 @@
     Parameters
     ==========
 
-    shared : OwnerDesk
-        What the parts of an owner share.
+    context : OwnerContext
+        State that the parts of the owner share.
     """
 
-    def __init__(self, shared: desk.OwnerDesk):
-        self._desk = shared
+    def __init__(self, context: desk.OwnerContext):
+        self._desk = context
 
     def create(
         self, message: messages.CreateProgram, to: effects.ReplyTo, now: float
     ) -> None:
-        """Create a program, once for each key."""
+        """Create a program, or return the one with the same key."""
         slot = self._desk.fold.slot_by_number.get(message.slot)
         if not self._desk.owns(slot):
             return self._desk.reply_not_owner(slot, to)
@@ -42,13 +42,13 @@
         if message.key and known is not None:
             return self._desk.reply(to, messages.ProgramCreated(program=known))
         service = self._desk.configuration.services.get(message.service)
-        fault = self._creation_fault(slot, message, service)
-        if fault is not None:
+        reason = self._creation_refusal(slot, message, service)
+        if reason is not None:
             return self._desk.refuse(
-                to, fault, retry_after_ms=limits.retry_for(fault)
+                to, reason, retry_after_ms=limits.retry_after_ms(reason)
             )
         if not self._desk.log_up:
-            return self._desk.refuse_log(to)
+            return self._desk.refuse_log_unavailable(to)
         budget = message.budget
         if budget is None and message.parent is None:
             budget = service.default_budget
@@ -67,9 +67,11 @@
             parent=message.parent,
             key=message.key,
         )
-        self._desk.on_verdict(record, self._created, record, to)
+        self._desk.add_verdict_callback(
+            record, self._on_create_verdict, record, to
+        )
 
-    def _creation_fault(
+    def _creation_refusal(
         self,
         slot: ownership.SlotState,
         message: messages.CreateProgram,
@@ -79,7 +81,7 @@
             return Reason.UNKNOWN_SERVICE
         if message.budget is not None and message.budget > service.max_budget:
             return Reason.BUDGET_TOO_LARGE
-        if self._live_programs(message.service) >= service.max_programs:
+        if self._live_program_count(message.service) >= service.max_programs:
             return Reason.TOO_MANY_PROGRAMS
         if message.parent is None:
             return None
@@ -88,7 +90,7 @@
             return Reason.UNKNOWN_PROGRAM
         return None if parent.live else Reason.PROGRAM_ENDED
 
-    def _live_programs(self, service: str) -> int:
+    def _live_program_count(self, service: str) -> int:
         """Return how many programs of a service live in this data centre."""
         return sum(
             program.live and program.service == service
@@ -96,7 +98,7 @@
             for program in slot.program_by_id.values()
         )
 
-    def _created(
+    def _on_create_verdict(
         self,
         record: ownership.Create,
         to: effects.ReplyTo,
@@ -118,10 +120,10 @@
     def read(
         self, message: messages.ReadProgram, to: effects.ReplyTo, now: float
     ) -> None:
-        """Answer with a program's state and a page of its turns."""
-        found = self._desk.find(message.program, to)
-        if found is not None:
-            self._desk.reply(to, self._view(found, message))
+        """Reply with a program's state and a page of its turns."""
+        state = self._desk.find_or_refuse(message.program, to)
+        if state is not None:
+            self._desk.reply(to, self._view(state, message))
 
     def _view(
         self, state: runtime.ProgramRuntime, message: messages.ReadProgram
@@ -154,18 +156,18 @@
         self, message: messages.EndProgram, to: effects.ReplyTo, now: float
     ) -> None:
         """End a program and its sub-agents."""
-        found = self._desk.find(message.program, to)
-        if found is None:
+        state = self._desk.find_or_refuse(message.program, to)
+        if state is None:
             return
-        program = found.program
+        program = state.program
         if not program.live:
             ended = messages.ProgramEnded(
                 program=program.id, spent=program.account.spent
             )
             return self._desk.reply(to, ended)
         if not self._desk.log_up:
-            return self._desk.refuse_log(to)
-        self.append_end(found, message.reason, to)
+            return self._desk.refuse_log_unavailable(to)
+        self.append_end(state, message.reason, to)
 
     def append_end(
         self,
@@ -173,7 +175,7 @@
         reason: programs.EndReason,
         to: effects.ReplyTo | None,
     ) -> None:
-        """Stop all calls of a program and append its end."""
+        """Stop all calls of a program's tree and append its end."""
         slot = self._desk.slot_of(state.program.id)
         for member in slot.tree(state.program.id):
             self._cancel_calls(member.id)
@@ -184,9 +186,11 @@
             reason=reason,
             charge=state.lost_cost,
         )
-        self._desk.on_verdict(record, self._ended, record, to)
+        self._desk.add_verdict_callback(
+            record, self._on_end_verdict, record, to
+        )
 
-    def _ended(
+    def _on_end_verdict(
         self,
         record: ownership.End,
         to: effects.ReplyTo | None,
@@ -206,7 +210,7 @@
             self._desk.reply_not_owner(slot, to)
 
     def release(self, slot: ownership.SlotState, program_id: str) -> None:
-        """Have engines drop what they hold of an ended program's tree."""
+        """Release what engines cache for an ended program's tree."""
         for member in slot.tree(program_id):
             engines = {
                 turn.upstream
@@ -222,28 +226,30 @@
                     )
                 )
 
-    def release_ended(self, slot: ownership.SlotState) -> None:
-        """Release what a former owner may have died before releasing."""
+    def release_ended_caches(self, slot: ownership.SlotState) -> None:
+        """Release caches that a former owner may not have released."""
         for program in list(slot.program_by_id.values()):
             if not program.live:
                 self.release(slot, program.id)
 
     def end_idle(self, now: float) -> None:
-        """End programs whose caller has not been heard of for too long."""
-        desk_ = self._desk
-        for slot in desk_.fold.slot_by_number.values():
-            if not desk_.owns(slot):
+        """End programs that have had no call for ``idle_seconds``."""
+        context = self._desk
+        for slot in context.fold.slot_by_number.values():
+            if not context.owns(slot):
                 continue
-            claimed_at = desk_.claimed_at_by_slot.get(slot.number, now)
+            claimed_at = context.claimed_at_by_slot.get(slot.number, now)
             for program in list(slot.program_by_id.values()):
-                since = desk_.active_at_by_program.get(program.id, claimed_at)
-                service = desk_.configuration.services.get(program.service)
+                since = context.active_at_by_program.get(
+                    program.id, claimed_at
+                )
+                service = context.configuration.services.get(program.service)
                 if not program.live or service is None:
                     continue
                 if now - since < service.idle_seconds or program.children:
                     continue
-                state = desk_.state_of(program.id)
-                if state.idle and desk_.log_up:
+                state = context.state_of(program.id)
+                if state.idle and context.log_up:
                     self.append_end(state, programs.EndReason.IDLE, None)
 
     def _cancel_calls(self, program_id: str) -> None:
@@ -252,7 +258,7 @@
         if state is None:
             return
         for call in state.queue_by_step.values():
-            self._desk.refuse_all(call, Reason.PROGRAM_ENDED)
+            self._desk.refuse_waiters(call, Reason.PROGRAM_ENDED)
         state.queue_by_step.clear()
         call = state.active
         if call is None:
@@ -261,5 +267,5 @@
             self._desk.effects.append(
                 effects.CancelAttempt(call.runner, program_id, call.attempt)
             )
-        self._desk.attempts.set_aside(state, call)
-        self._desk.refuse_all(call, Reason.PROGRAM_ENDED)
+        self._desk.attempts.abandon_active(state, call)
+        self._desk.refuse_waiters(call, Reason.PROGRAM_ENDED)
--- a/postspring/coordination/limits.py
+++ b/postspring/coordination/limits.py
@@ -1,34 +1,36 @@
-"""Bounds and delays of an owner, and when to come back."""
+"""Limits and timeouts of an owner, and the retry delays of refusals."""
 
 import dataclasses
 
 from postspring.coordination import refusals
 
-__all__ = ["OwnerLimits", "retry_for"]
+__all__ = ["OwnerLimits", "retry_after_ms"]
 
 Reason = refusals.RefusalReason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnerLimits:
-    """Bounds and delays of an owner; times in seconds.
+    """Limits and timeouts of an owner; times in seconds.
 
     Parameters
     ==========
 
     queue_window : int
-        How many steps ahead of the tip a call may wait.
+        How many steps beyond the next one a call may be queued.
     max_attempts : int
         Attempts of one call, the first included.
     hold_after : float
-        A turn that is not in the log by then is answered as held.
+        How long a turn may wait for the log before it is answered as held.
+        A turn that is appended while the log is unavailable does not wait.
     log_timeout : float
-        A call that waits for the log that long is refused as not run.
+        How long a call may wait for its intent or reservation to be logged
+        while the log is unavailable, before it is refused.
     outcome_grace : float
-        How long after a claim a former owner's outcome may still come in
-        before its open intent is closed as unknown.
-    held_bytes : int
-        Bytes of turns that may be pending before calls are refused.
+        How long after a slot is claimed the former owner's outcome of an
+        open intent may still arrive, before it is recorded as unknown.
+    max_held_bytes : int
+        Size of all pending turns above which calls are refused.
     """
 
     queue_window: int = 8
@@ -36,7 +38,7 @@
     hold_after: float = 1.0
     log_timeout: float = 1.0
     outcome_grace: float = 1.0
-    held_bytes: int = 8 * 1024 * 1024
+    max_held_bytes: int = 8 * 1024 * 1024
 
 
 RETRY_AFTER_MS_BY_REASON = {
@@ -53,6 +55,6 @@
 }
 
 
-def retry_for(reason: Reason) -> int | None:
-    """Return when to come back after that refusal, in milliseconds."""
+def retry_after_ms(reason: Reason) -> int | None:
+    """Return the retry delay of a refusal in milliseconds, or None."""
     return RETRY_AFTER_MS_BY_REASON.get(reason)
--- a/postspring/coordination/messages.py
+++ b/postspring/coordination/messages.py
@@ -1,6 +1,6 @@
 """Requests to the owner of a program, and its replies.
 
-The same types go by function call within a VM and by CBOR between VMs.
+Within a VM the messages are passed as objects, between VMs as CBOR.
 """
 
 from postspring import codec
@@ -47,7 +47,7 @@
 @owner_messages.register("program_created")
 @codec.message()
 class ProgramCreated:
-    """The program exists in the log."""
+    """The program's creation is in the log."""
 
     program: str
 
@@ -63,25 +63,25 @@
     program : str
         The program's id.
     service : str
-        The service that the caller says the program belongs to.
+        The service that the program must belong to; empty for any.
     kind, target
-        What is called, and the name of the model, tool or plain service.
+        The kind of upstream, and the name of the model, tool or service.
     request : bytes
         JSON: new messages for a model, a body for a tool or service.
     step : int
-        Dense number of the call in its program, from 1.
+        Number of the call in its program, from 1 without gaps.
     key : str
         The caller's idempotency key; empty if none was given.
     repeatable : bool
-        Whether running the call twice does no harm.
+        Whether the caller permits the call to be dispatched twice.
     parent : bytes or None
-        Digest of the turn this call follows, if the caller has it.
+        Expected digest of the preceding turn; None skips the check.
     max_tokens : int or None
         Bound on generated tokens; None for the model's default.
     timeout_ms : int
-        How long the caller is willing to wait for dispatch.
+        How long the call may wait for dispatch.
     receipts : tuple of Turn
-        Turns that were answered before they were in the log.
+        Held turns, which the caller received before the log had them.
     """
 
     program: str
@@ -106,10 +106,10 @@
 @owner_messages.register("grant")
 @codec.message()
 class Grant:
-    """Leave to run one attempt of a call against one upstream.
+    """Permission to run one attempt of a call on one upstream.
 
-    Holds all that is needed to build the call's turn, so that the VM that
-    runs the attempt can record it even if the owner dies meanwhile.
+    Holds everything needed to build the call's turn, so that the VM that
+    runs the attempt can record the turn even if the owner fails meanwhile.
     """
 
     attempt: int
@@ -139,7 +139,7 @@
 @owner_messages.register("finish_attempt")
 @codec.message()
 class FinishAttempt:
-    """An attempt got its whole answer; ``turn`` is ready to be recorded."""
+    """An attempt received its complete answer; ``turn`` is to be recorded."""
 
     attempt: int
     turn: ownership.Turn
@@ -148,7 +148,7 @@
 @owner_messages.register("lose_attempt")
 @codec.message()
 class LoseAttempt:
-    """An attempt broke.
+    """An attempt failed before its answer was complete.
 
     ``sent`` says whether any byte may have reached the upstream.
     """
@@ -187,7 +187,7 @@
 @owner_messages.register("program_view")
 @codec.message()
 class ProgramView:
-    """A program's state; money in micro-units."""
+    """A program's state; amounts in micro-units."""
 
     program: str
     service: str
@@ -220,7 +220,7 @@
 @owner_messages.register("program_ended")
 @codec.message()
 class ProgramEnded:
-    """The end is in the log."""
+    """The program's end is in the log."""
 
     program: str
     spent: int
@@ -229,7 +229,7 @@
 @owner_messages.register("not_owner")
 @codec.message()
 class NotOwner:
-    """The VM that was asked does not own the slot; ``owner`` may."""
+    """The receiving VM does not own the slot; ``owner``, if set, may."""
 
     owner: str | None
     address: str = ""
--- a/postspring/coordination/owner.py
+++ b/postspring/coordination/owner.py
@@ -1,7 +1,8 @@
-"""The owner: decides what the calls of its programs may do, and when.
+"""The owner: decides which calls of its programs run, where and when.
 
-Pure: requests, verdicts of the log and the time go in, typed effects come
-out.  The same class runs in the daemon and in the scenarios.
+The owner does no I/O and reads no clock.  Its inputs are requests, verdicts
+on log records and the time, its outputs are typed effects.  The daemon and
+the simulated scenarios run the same class.
 """
 
 import collections
@@ -33,23 +34,23 @@
     Explanation
     ===========
 
-    The host feeds requests to :meth:`receive`, every record that the fold
-    judged to :meth:`on_record`, and the time to :meth:`tick`; after each it
-    carries out what :meth:`take_effects` returns.
+    The host passes requests to :meth:`receive`, each record with the fold's
+    verdict to :meth:`on_record`, and the time to :meth:`tick`.  After each
+    of them it executes the effects that :meth:`take_effects` returns.
 
     Parameters
     ==========
 
     vm, incarnation : str
-        This VM, and this start of it.
+        Name of the VM, and the id of this start of its process.
     data_center : str
         The data centre whose slots these are.
     fold : StreamFold
-        The slots as the log tells them.
+        State of the slots, as folded from the log.
     pool : UpstreamPool
-        Upstreams and the calls that wait for them.
+        Upstreams, and the calls that are queued for them.
     bounds : OwnerLimits
-        Bounds and delays.
+        Limits and timeouts.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         pool: scheduling.UpstreamPool,
         bounds: limits.OwnerLimits = limits.OwnerLimits(),
     ):
-        self._desk = desk.OwnerDesk(
+        self._desk = desk.OwnerContext(
             vm, incarnation, data_center, fold, pool, bounds
         )
         self._lifecycle = lifecycle.ProgramLifecycle(self._desk)
@@ -85,12 +86,12 @@
     # -- inputs -------------------------------------------------------------
 
     def receive(self, message: Any, to: effects.ReplyTo, now: float) -> None:
-        """Handle a request; exactly one reply to it follows, in time.
+        """Handle a request; exactly one reply follows, now or later.
 
         Raises
         ------
         IdentifierError
-            If the request names something that is no program's id.
+            If the program id of the request is malformed.
         """
         handle = self._handler_by_type.get(type(message))
         if handle is None:
@@ -101,20 +102,22 @@
         self._attempts.assign(now)
 
     def on_record(self, record: Any, verdict: Verdict, now: float) -> None:
-        """Take note of a record of this stream and the fold's verdict."""
-        shared = self._desk
+        """Process a record of this stream and the fold's verdict on it."""
+        context = self._desk
         if isinstance(record, ownership.Claim) and verdict.counted:
-            shared.claimed_at_by_slot[record.slot] = now
-            slot = shared.fold.slot_by_number[record.slot]
-            if record.incarnation != shared.incarnation:
-                self._calls.leave_slot(record.slot, now)
-            elif shared.owns(slot):
-                self._lifecycle.release_ended(slot)
+            context.claimed_at_by_slot[record.slot] = now
+            slot = context.fold.slot_by_number[record.slot]
+            if record.incarnation != context.incarnation:
+                self._calls.abandon_slot(record.slot, now)
+            elif context.owns(slot):
+                self._lifecycle.release_ended_caches(slot)
         if isinstance(record, ownership.End) and verdict.counted:
-            slot = shared.fold.slot_by_number[record.slot]
-            if shared.owns(slot):
+            slot = context.fold.slot_by_number[record.slot]
+            if context.owns(slot):
                 self._lifecycle.release(slot, record.program)
-        callback = shared.on_verdict_by_identity.pop(record.identity, None)
+        callback = context.verdict_callback_by_identity.pop(
+            record.identity, None
+        )
         if callback is not None:
             callback(verdict, now)
         elif isinstance(record, ownership.Turn) and verdict.counted:
@@ -122,7 +125,7 @@
         self._attempts.assign(now)
 
     def on_peer_lost(self, vm: str, now: float) -> None:
-        """Take note that a VM is gone with the attempts it was running."""
+        """Treat the attempts that a lost VM was running as failed."""
         for state in list(self._desk.runtime_by_program.values()):
             call = state.active
             if call is not None and call.runner == vm:
@@ -133,10 +136,10 @@
         self._attempts.assign(now)
 
     def tick(self, now: float) -> None:
-        """Apply deadlines; call it some times a second."""
+        """Apply deadlines; to be called several times a second."""
         runtime_by_program = self._desk.runtime_by_program
         for state in list(runtime_by_program.values()):
-            self._turns.hold_slow(state, now)
+            self._turns.hold_overdue(state, now)
             self._calls.expire(state, now)
             self._calls.advance(state, now)
             if state.idle and not state.lost_cost:
@@ -144,26 +147,26 @@
         self._attempts.assign(now)
 
     def end_idle(self, now: float) -> None:
-        """End programs that were left; call it now and then."""
+        """End idle programs; to be called periodically."""
         self._lifecycle.end_idle(now)
 
     # -- outputs ------------------------------------------------------------
 
     def take_effects(self) -> list[effects.Effect]:
-        """Return what the host has to do now, and forget it."""
+        """Return the effects that the host is to execute, and clear them."""
         taken = self._desk.effects
         self._desk.effects = []
         return taken
 
     def release_slot(self, slot: int, successor: str | None) -> bool:
-        """Hand a slot over if nothing of it is in flight.
+        """Release a slot unless one of its programs has calls or turns left.
 
         Returns whether the release was appended.
         """
-        shared = self._desk
+        context = self._desk
         charges = {}
-        for program_id in shared.fold.slot_by_number[slot].program_by_id:
-            state = shared.runtime_by_program.get(program_id)
+        for program_id in context.fold.slot_by_number[slot].program_by_id:
+            state = context.runtime_by_program.get(program_id)
             if state is None:
                 continue
             if not state.idle:
@@ -171,8 +174,8 @@
             if state.lost_cost:
                 charges[program_id] = state.lost_cost
         for program_id in charges:
-            shared.runtime_by_program[program_id].lost_cost = 0
-        shared.append(
+            context.runtime_by_program[program_id].lost_cost = 0
+        context.append(
             ownership.Release,
             slot,
             successor=successor,
@@ -180,20 +183,20 @@
         )
         return True
 
-    # -- what the host sets and sees ------------------------------------------
+    # -- settings and status --------------------------------------------------
 
     @property
     def bounds(self) -> limits.OwnerLimits:
-        """The bounds and delays."""
+        """The limits and timeouts."""
         return self._desk.limits
 
     def reconfigure(self, in_force: configuration.Configuration) -> None:
-        """Go by another configuration from now on."""
+        """Apply another configuration to all later decisions."""
         self._desk.configuration = in_force
 
     @property
     def log_up(self) -> bool:
-        """Whether the log can be written and read now."""
+        """Whether the log is available for reads and writes."""
         return self._desk.log_up
 
     @log_up.setter
@@ -202,17 +205,17 @@
 
     @property
     def retry_budget(self) -> scheduling.RetryBudget:
-        """What keeps retries a small share of calls."""
+        """The budget that keeps retries a small share of calls."""
         return self._desk.retry_budget
 
     @property
     def retries_by_reason(self) -> collections.Counter:
-        """How many attempts were retried, by reason."""
+        """Number of retries by reason."""
         return self._desk.retries_by_reason
 
     @property
     def held_bytes(self) -> int:
-        """Bytes of turns that are not in the log yet."""
+        """Size of the turns that are not in the log yet."""
         return self._desk.held_bytes
 
     @property
--- a/postspring/coordination/pricing.py
+++ b/postspring/coordination/pricing.py
@@ -1,6 +1,6 @@
-"""What a call may cost at most, and what it did cost.
+"""Cost bounds and costs of calls.
 
-Money is in whole micro-units, prices of models in micro-units per 1000
+Amounts are whole micro-units, prices of models are micro-units per 1000
 tokens.  Costs are rounded up.
 """
 
@@ -37,8 +37,9 @@
 def prompt_token_bound(turns: list[ownership.Turn], request: bytes) -> int:
     """Return an upper bound of the prompt's tokens.
 
-    What the engine counted up to the program's latest model turn is known;
-    beyond it, a token takes at least one byte.
+    The engine counted the tokens up to the program's latest model turn.
+    Later turns and the request are bounded by their size, as each token
+    takes at least one byte.
     """
     bound = len(request) + TOKENS_PER_MESSAGE_FRAME
     for turn in reversed(turns):
@@ -50,10 +51,10 @@
     return bound
 
 
-def worst_case(
+def model_cost_bound(
     model: configuration.Model, prompt_tokens: int, max_tokens: int
 ) -> int:
-    """Return the most that one attempt of a model call can cost."""
+    """Return the upper bound of the cost of one model attempt."""
     return model_cost(
         prompt_tokens, max_tokens, model.prompt_price, model.completion_price
     )
--- a/postspring/coordination/refusals.py
+++ b/postspring/coordination/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals: why a request was not answered, and whether it ran."""
+"""Refusals: why a request is refused, and whether it may have run."""
 
 import enum
 
@@ -10,7 +10,7 @@
 class Ran(enum.StrEnum):
     """Whether a refused request may have run.
 
-    ``NOT_RUN`` is a promise.  ``UNKNOWN`` says that nobody living knows.
+    ``NOT_RUN`` is guaranteed.  ``UNKNOWN`` means that it may have run.
     """
 
     NOT_RUN = "not_run"
@@ -18,7 +18,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Every reason for which a request is refused; each has a counter."""
+    """Reasons for which requests are refused; each has a counter."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -53,20 +53,20 @@
 
 @codec.message()
 class Refused:
-    """A final answer: the request was refused.
+    """The final reply to a request that is refused.
 
     Parameters
     ==========
 
     reason : RefusalReason
-        Why.
+        Why the request is refused.
     ran : Ran
-        Whether it may have run.
+        Whether the request may have run.
     retry_after_ms : int or None
-        When to come back, in milliseconds; None if asking again the same
-        way can't succeed.
+        Delay before a retry, in milliseconds; None if the same request is
+        not expected to succeed later.
     detail : str
-        Text for a person.
+        Human-readable explanation.
     """
 
     reason: RefusalReason
--- a/postspring/coordination/runtime.py
+++ b/postspring/coordination/runtime.py
@@ -1,4 +1,4 @@
-"""What the owner keeps of a program beyond what the log tells."""
+"""State of a program that its owner keeps in memory only."""
 
 import dataclasses
 import enum
@@ -13,7 +13,7 @@
 
 
 class CallState(enum.StrEnum):
-    """Where a call stands at its owner."""
+    """State of a call at its owner."""
 
     QUEUED = "queued"
     LOGGING = "logging"
@@ -29,9 +29,9 @@
     ==========
 
     waiters : list of ReplyTo
-        Everyone who asked for it and was not answered yet.
+        Requests for the call that are not answered yet.
     deadline : float
-        Until when it may be dispatched; seconds.
+        Latest time of its dispatch, in seconds.
     attempt : int
         Number of the latest attempt, unique at this owner.
     runner : str
@@ -39,7 +39,7 @@
     intent : tuple of int or None
         Epoch and sequence of its counted intent.
     abandoned : bool
-        Its caller was told that it did not run; it must never run.
+        The owner gave the call up and must not dispatch it any more.
     may_have_run : bool
         An earlier attempt may have reached an upstream.
     """
@@ -49,7 +49,7 @@
     deadline: float
     state: CallState = CallState.QUEUED
     state_since: float = 0.0
-    bound: int = 0
+    cost_bound: int = 0
     attempt: int = 0
     attempts: int = 0
     runner: str = ""
@@ -60,13 +60,13 @@
     may_have_run: bool = False
 
     def enter(self, state: CallState, now: float) -> None:
-        """Go on to another state."""
+        """Change the state and record the time of the change."""
         self.state = state
         self.state_since = now
 
     @property
     def ran(self) -> refusals.Ran:
-        """What may be said of the call if it is refused now."""
+        """Whether the call may have run, for a refusal sent now."""
         if self.may_have_run or self.state is CallState.RUNNING:
             return refusals.Ran.UNKNOWN
         return refusals.Ran.NOT_RUN
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingTurn:
-    """A turn that is not in the log yet, and who waits for it."""
+    """A turn that is not in the log yet, and the requests for it."""
 
     turn: ownership.Turn
     since: float
@@ -88,15 +88,15 @@
     Explanation
     ===========
 
-    ``pending`` are turns that follow the program's head but are not in the
-    log yet, in order; the *tip* is the last of them, or the head.  At most
-    one call is active at a time, so calls run in the program's order.
+    ``pending`` lists, in order, the turns that follow the program's head
+    but are not in the log yet; the *tip* is the last of them, or the head.
+    At most one call is active at a time, so calls run in order of steps.
 
     Parameters
     ==========
 
     program : Program
-        The program as the log tells it.
+        The program's state in the log.
     """
 
     __slots__ = ("program", "queue_by_step", "active", "pending", "lost_cost")
@@ -110,7 +110,7 @@
 
     @property
     def tip(self) -> programs.Head:
-        """The latest turn, in the log or not."""
+        """Step and digest of the latest turn, logged or pending."""
         if self.pending:
             turn = self.pending[-1].turn
             return programs.Head(turn.step, turn.digest)
@@ -122,8 +122,8 @@
         return self.program.turns + [item.turn for item in self.pending]
 
     @property
-    def spendable(self) -> int:
-        """Micro-units of the logged allowance that nothing uses yet."""
+    def available_allowance(self) -> int:
+        """Micro-units of the logged allowance that are not in use."""
         pending_cost = sum(
             item.turn.cost
             for item in self.pending
@@ -132,7 +132,7 @@
         in_use = pending_cost + self.lost_cost
         if self.active is not None and self.active.intent is None:
             if self.active.state in (CallState.WAITING, CallState.RUNNING):
-                in_use += self.active.bound
+                in_use += self.active.cost_bound
         return self.program.allowance - in_use
 
     @property
@@ -141,7 +141,7 @@
         return not (self.queue_by_step or self.active or self.pending)
 
     def turn_at(self, step: int) -> ownership.Turn | None:
-        """Return the turn with that step, in the log or pending."""
+        """Return the logged or pending turn with that step, if any."""
         turn = self.program.turn_at(step)
         if turn is not None:
             return turn
@@ -151,7 +151,7 @@
         return None
 
     def turn_with_key(self, key: str) -> ownership.Turn | None:
-        """Return the turn of the call with that key, if there is one."""
+        """Return the logged or pending turn with that key, if any."""
         turn = self.program.turn_with_key(key)
         if turn is not None:
             return turn
--- a/postspring/coordination/tests/harness.py
+++ b/postspring/coordination/tests/harness.py
@@ -1,4 +1,4 @@
-"""An owner with a log that answers when the test says so."""
+"""Test harness: an owner whose log accepts records on demand."""
 
 import itertools
 
@@ -70,7 +70,7 @@
 
 
 class OwnerHarness:
-    """One owner of slot 0, its log and its replies."""
+    """An owner of slot 0, with its log and its replies."""
 
     def __init__(self, limits=coordination.OwnerLimits()):
         self.fold = ownership.StreamFold(slots=1)
@@ -80,19 +80,19 @@
         )
         self.owner.reconfigure(CONFIGURATION)
         self.now = 100.0
-        self.unlogged = []
+        self.unlogged_records = []
         self.replies = {}
-        self.runs = []
-        self.cancelled = []
+        self.local_grants = []
+        self.other_effects = []
         self._numbers = itertools.count(1)
-        self.put(
+        self.append(
             ownership.Claim(
                 slot=0, epoch=1, owner="vm-1", incarnation="vm-1.1"
             )
         )
 
     def restart(self, incarnation):
-        """Start the VM anew: what it kept in memory is gone."""
+        """Restart the VM, which loses its state in memory."""
         self.owner = coordination.Owner(
             "vm-1",
             incarnation,
@@ -102,48 +102,48 @@
             self.owner.bounds,
         )
         self.owner.reconfigure(CONFIGURATION)
-        self.unlogged.clear()
+        self.unlogged_records.clear()
         epoch = self.fold.slot_by_number[0].epoch + 1
-        self.put(
+        self.append(
             ownership.Claim(
                 slot=0, epoch=epoch, owner="vm-1", incarnation=incarnation
             )
         )
 
-    def put(self, record):
-        """Have a record in the log now."""
+    def append(self, record):
+        """Append a record to the log and return its verdict."""
         verdict = self.fold.apply(self.fold.next_offset, record)
         self.owner.on_record(record, verdict, self.now)
-        self.collect()
+        self.collect_effects()
         return verdict
 
-    def collect(self):
-        """Take the owner's effects."""
+    def collect_effects(self):
+        """Collect the owner's effects, sorted by type."""
         for effect in self.owner.take_effects():
             if isinstance(effect, coordination.Append):
-                self.unlogged.append(effect.record)
+                self.unlogged_records.append(effect.record)
             elif isinstance(effect, coordination.Reply):
                 number = effect.to.request
                 self.replies.setdefault(number, []).append(effect.message)
             elif isinstance(effect, coordination.Run):
-                self.runs.append(effect.grant)
+                self.local_grants.append(effect.grant)
             else:
-                self.cancelled.append(effect)
+                self.other_effects.append(effect)
 
-    def log(self):
-        """Let the log take what waits, until nothing does."""
-        while self.unlogged:
-            self.put(self.unlogged.pop(0))
+    def flush_log(self):
+        """Append the unlogged records, and those that result from them."""
+        while self.unlogged_records:
+            self.append(self.unlogged_records.pop(0))
 
-    def ask(self, message, vm="vm-2"):
+    def send(self, message, vm="vm-2"):
         """Send a request and return its number."""
         number = next(self._numbers)
         to = coordination.ReplyTo(vm, number)
         self.owner.receive(message, to, self.now)
-        self.collect()
+        self.collect_effects()
         return number
 
-    def reply(self, number):
+    def reply_to(self, number):
         """Return the one reply to a request, or None."""
         got = self.replies.get(number, [])
         if len(got) > 1:
@@ -153,9 +153,9 @@
     def create(self, **options):
         """Create a program and return its id."""
         fields = {"slot": 0, "service": "agentes"} | options
-        number = self.ask(coordination.CreateProgram(**fields))
-        self.log()
-        return self.reply(number).program
+        number = self.send(coordination.CreateProgram(**fields))
+        self.flush_log()
+        return self.reply_to(number).program
 
     def model_call(self, program, step=1, text="hello", **options):
         """Build a model call."""
@@ -189,16 +189,16 @@
         )
 
     def finish(self, grant, answer=b'{"role":"assistant","content":"a"}'):
-        """Report an attempt's whole answer; return the request's number."""
+        """Report the answer of an attempt; return the request's number."""
         usage = programs.Usage(prompt_tokens=12, completion_tokens=3)
         turn = coordination.answered_turn(grant, answer, 200, usage)
-        return self.ask(
+        return self.send(
             coordination.FinishAttempt(attempt=grant.attempt, turn=turn)
         )
 
     def lose(self, grant, sent):
-        """Report a broken attempt; return the request's number."""
-        return self.ask(
+        """Report a failed attempt; return the request's number."""
+        return self.send(
             coordination.LoseAttempt(
                 attempt=grant.attempt,
                 program=grant.program,
@@ -208,12 +208,12 @@
             )
         )
 
-    def pass_time(self, seconds):
-        """Let time go by, with ticks."""
+    def advance_time(self, seconds):
+        """Advance the time in steps, with a tick after each."""
         for _ in range(max(1, int(seconds * 10))):
             self.now += 0.1
             self.owner.tick(self.now)
-            self.collect()
+            self.collect_effects()
 
     def account(self, program):
         """Return a program's account."""
--- a/postspring/coordination/tests/owner_case.py
+++ b/postspring/coordination/tests/owner_case.py
@@ -1,4 +1,4 @@
-"""A test of an owner with one program."""
+"""Base class for tests of an owner with one program."""
 
 import unittest
 
@@ -11,30 +11,30 @@
 
 
 class OwnerCase(unittest.TestCase):
-    """An owner with one program."""
+    """Test case of an owner with one program."""
 
     def setUp(self):
-        self.bench = harness.OwnerHarness()
-        self.program = self.bench.create()
+        self.harness = harness.OwnerHarness()
+        self.program = self.harness.create()
 
     def assert_refused(self, number, reason, ran=Ran.NOT_RUN):
-        """Check that a request was refused so."""
-        reply = self.bench.reply(number)
+        """Check the reason of a refusal, and what it says of the run."""
+        reply = self.harness.reply_to(number)
         self.assertIsInstance(reply, coordination.Refused)
         self.assertEqual((reason, ran), (reply.reason, reply.ran))
         return reply
 
-    def granted(self, number):
-        """Return the grant that a request was answered with."""
-        reply = self.bench.reply(number)
+    def assert_granted(self, number):
+        """Check that a request was answered with a grant; return it."""
+        reply = self.harness.reply_to(number)
         self.assertIsInstance(reply, coordination.Grant)
         return reply
 
     def answer_model_call(self, step=1, **options):
-        """Run a model call to its end; return the answered turn."""
-        call = self.bench.model_call(self.program, step, **options)
-        number = self.bench.ask(call)
-        self.bench.log()
-        done = self.bench.finish(self.granted(number))
-        self.bench.log()
-        return self.bench.reply(done).turn
+        """Run a model call to completion; return the answered turn."""
+        call = self.harness.model_call(self.program, step, **options)
+        number = self.harness.send(call)
+        self.harness.flush_log()
+        finished = self.harness.finish(self.assert_granted(number))
+        self.harness.flush_log()
+        return self.harness.reply_to(finished).turn
--- a/postspring/coordination/turn_flow.py
+++ b/postspring/coordination/turn_flow.py
@@ -1,4 +1,4 @@
-"""Turns on their way into the log."""
+"""Appends turns to the log and answers the requests that wait for them."""
 
 from postspring.coordination import desk
 from postspring.coordination import effects
@@ -17,17 +17,23 @@
 
 
 class TurnFlow:
-    """Appends turns, answers once they count, and holds what must wait.
+    """Appends turns and answers once the log has them.
+
+    Explanation
+    ===========
+
+    A turn that waits too long for the log is answered as *held*: the owner
+    has other VMs replicate it, and the caller keeps it as a receipt.
 
     Parameters
     ==========
 
-    shared : OwnerDesk
-        What the parts of an owner share.
+    context : OwnerContext
+        State that the parts of the owner share.
     """
 
-    def __init__(self, shared: desk.OwnerDesk):
-        self._desk = shared
+    def __init__(self, context: desk.OwnerContext):
+        self._desk = context
 
     def answer(
         self,
@@ -35,7 +41,7 @@
         turn: ownership.Turn,
         to: effects.ReplyTo,
     ) -> None:
-        """Answer with a turn, at once or when it counts."""
+        """Answer with a turn, which may first have to be logged or held."""
         pending = state.pending_turn(turn.digest)
         if pending is None or pending.held:
             held = pending is not None
@@ -49,7 +55,10 @@
         turn: ownership.Turn,
         now: float,
     ) -> bool:
-        """Record a turn that somebody else kept; return whether it stands."""
+        """Record a turn that another VM or a caller has kept.
+
+        Returns whether the turn belongs to the program's history.
+        """
         known = state.turn_at(turn.step)
         if known is not None:
             return known.digest == turn.digest
@@ -61,7 +70,7 @@
         waiters = []
         if call is not None:
             waiters = call.waiters
-            self._desk.attempts.set_aside(state, call)
+            self._desk.attempts.abandon_active(state, call)
         self.commit(state, turn, waiters, now)
         return True
 
@@ -72,7 +81,10 @@
         waiters: list[effects.ReplyTo],
         now: float,
     ) -> None:
-        """Append a turn that follows the tip, and answer once it counts."""
+        """Append a turn, and answer its waiters once it counts.
+
+        If the turn does not follow the tip, the waiters are refused.
+        """
         tip = state.tip
         if turn.step != tip.step + 1 or turn.parent != tip.digest:
             for to in waiters:
@@ -81,12 +93,14 @@
         pending = runtime.PendingTurn(turn, now, waiters)
         state.pending.append(pending)
         self._desk.held_bytes += len(turn.request) + len(turn.answer)
-        self._desk.on_verdict(turn, self._turn_judged, state, pending)
+        self._desk.add_verdict_callback(
+            turn, self._on_turn_verdict, state, pending
+        )
         self._desk.effects.append(effects.Append(turn))
         if not self._desk.log_up:
-            self.hold_slow(state, now + self._desk.limits.hold_after)
+            self.hold_overdue(state, now + self._desk.limits.hold_after)
 
-    def _turn_judged(
+    def _on_turn_verdict(
         self,
         state: runtime.ProgramRuntime,
         pending: runtime.PendingTurn,
@@ -103,16 +117,16 @@
             for to in pending.waiters:
                 self._desk.reply(to, answered)
         else:
-            self._pending_lost(state, pending, verdict)
+            self._refuse_rejected(state, pending, verdict)
         self._desk.calls.advance(state, now)
 
-    def _pending_lost(
+    def _refuse_rejected(
         self,
         state: runtime.ProgramRuntime,
         pending: runtime.PendingTurn,
         verdict: Verdict,
     ) -> None:
-        """Refuse a turn that did not count, and all that follow it."""
+        """Refuse the waiters of a rejected turn and of its successors."""
         ended = verdict is Verdict.PROGRAM_ENDED
         reason = Reason.PROGRAM_ENDED if ended else Reason.SUPERSEDED
         followers = state.pending
@@ -126,28 +140,32 @@
             )
 
     def on_foreign_turn(self, turn: ownership.Turn, now: float) -> None:
-        """Take note of a counted turn that this owner did not append."""
+        """Apply a counted turn that this owner did not append.
+
+        Requests for the call of that step are then handled anew.
+        """
         state = self._desk.runtime_by_program.get(turn.program)
         if state is None:
             return
         call = state.active
-        overtaken = []
+        superseded = []
         if call is not None and call.message.step == turn.step:
-            self._desk.attempts.set_aside(state, call)
-            overtaken.append(call)
+            self._desk.attempts.abandon_active(state, call)
+            superseded.append(call)
         queued = state.queue_by_step.pop(turn.step, None)
         if queued is not None:
-            overtaken.append(queued)
-        for call in overtaken:
+            superseded.append(queued)
+        for call in superseded:
             for to in call.waiters:
                 self._desk.calls.call(call.message, to, now)
         self._desk.calls.advance(state, now)
 
     def _refuse_unknown(self, pending: runtime.PendingTurn) -> None:
-        """Refuse for now a call whose outcome may still come in.
+        """Refuse, with a retry delay, a call whose outcome may arrive.
 
-        "Unknown" is never held: until it is in the log, the outcome that a
-        former owner has seen can come first, and is the better answer.
+        An unknown outcome is never answered as held: until it is in the
+        log, the outcome that a former owner received may be logged first,
+        and that is the better answer.
         """
         waiters = pending.waiters
         pending.waiters = []
@@ -156,11 +174,11 @@
                 to,
                 Reason.LOG_UNAVAILABLE,
                 Ran.UNKNOWN,
-                limits.retry_for(Reason.LOG_UNAVAILABLE),
+                limits.retry_after_ms(Reason.LOG_UNAVAILABLE),
             )
 
-    def hold_slow(self, state: runtime.ProgramRuntime, now: float) -> None:
-        """Answer as held the turns that the log takes too long to take."""
+    def hold_overdue(self, state: runtime.ProgramRuntime, now: float) -> None:
+        """Answer as held the turns that waited too long for the log."""
         for pending in state.pending:
             if now - pending.since < self._desk.limits.hold_after:
                 continue
--- a/postspring/coordination/turns.py
+++ b/postspring/coordination/turns.py
@@ -1,4 +1,4 @@
-"""Building turns and prompts from grants and history."""
+"""Builds turns and prompts from grants and a program's history."""
 
 import json
 
@@ -23,7 +23,7 @@
     status_code: int,
     usage: programs.Usage = programs.Usage(),
 ) -> ownership.Turn:
-    """Return the turn of an attempt that got its whole answer."""
+    """Return the turn of an attempt that received its complete answer."""
     request_digest = programs.request_digest(
         grant.kind, grant.target, grant.request
     )
@@ -56,12 +56,12 @@
 def abandoned_intent_turn(
     slot: ownership.SlotState, program: programs.Program, request: bytes
 ) -> ownership.Turn:
-    """Return the turn that closes a former owner's open intent.
+    """Return the turn that closes an open intent as unknown.
 
     Parameters
     ----------
     request : bytes
-        The request if the caller has told it again, else ``{}``.
+        JSON of the request; ``{}`` if this owner has not received it.
     """
     intent = program.open_intent
     head = program.head
@@ -90,26 +90,26 @@
 
 
 def build_prompt(turns: list[ownership.Turn], request: bytes) -> bytes:
-    """Return the JSON array of all messages of a program and a new call.
+    """Return a JSON array of the messages of a program and a new call.
 
-    Requests and answers of model turns are JSON already and are joined as
-    they are; answers of tools become messages with the role ``tool``.
+    Requests and answers of model turns are JSON already and are joined
+    without parsing; all other answers become messages of the role ``tool``.
     """
     parts = []
     for turn in turns:
         parts.extend(_messages_of(turn))
-    parts.append(_inner(request))
+    parts.append(_array_items(request))
     return b"[" + b",".join(part for part in parts if part) + b"]"
 
 
 def _messages_of(turn: ownership.Turn) -> list[bytes]:
     if turn.kind is programs.CallKind.MODEL:
-        return [_inner(turn.request), turn.answer]
+        return [_array_items(turn.request), turn.answer]
     content = turn.answer.decode(errors="replace")
     message = {"role": "tool", "name": turn.target, "content": content}
     return [json.dumps(message).encode()]
 
 
-def _inner(array: bytes) -> bytes:
-    """Return the inside of a JSON array."""
-    return array.strip()[1:-1].strip()
+def _array_items(json_array: bytes) -> bytes:
+    """Return the items of a JSON array, without the brackets."""
+    return json_array.strip()[1:-1].strip()
