--- a/postspring/ownership/__init__.py
+++ b/postspring/ownership/__init__.py
@@ -1,4 +1,4 @@
-"""Ownership: slots, epochs, and the fold that decides by log order."""
+"""Ownership: slots, their epochs, and the fold of the slots' log stream."""
 
 from postspring.ownership.assignment import plan_slots
 from postspring.ownership.assignment import preferred_owner
--- a/postspring/ownership/assignment.py
+++ b/postspring/ownership/assignment.py
@@ -1,7 +1,7 @@
-"""Which VM should own which slot: rendezvous hashing over live VMs.
+"""Assignment of slots to VMs by rendezvous hashing over the live VMs.
 
-This only decides when a VM *tries* to claim or hand over a slot.  Who owns
-it is decided by the log.
+The plan only decides when a VM *tries* to claim or hand over a slot.  The
+order of records in the log decides which VM owns it.
 """
 
 from collections.abc import Collection
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotPlan:
-    """What one VM should do now: slots to claim, slots to hand over."""
+    """Slots that one VM should claim now, and those to hand over to others."""
 
     claim: tuple[int, ...]
     hand_over: Mapping[int, str]
@@ -41,19 +41,19 @@
 
 
 def plan_slots(
-    stream: fold.StreamFold, me: str, incarnation: str, alive: Collection[str]
+    stream: fold.StreamFold, vm: str, incarnation: str, alive: Collection[str]
 ) -> SlotPlan:
     """Return which slots this VM should claim and which to hand over.
 
     Parameters
     ----------
     stream : StreamFold
-        The slots as the log tells them.
-    me, incarnation
-        This VM's id and incarnation.
+        State of the slots, as folded from the log.
+    vm, incarnation
+        This VM's name, and the id of this start of its process.
     alive : collection of VM ids
-        VMs of this data centre that are neither leaving nor silent,
-        this one included unless it is leaving itself.
+        VMs of this data centre that are neither leaving nor silent.  This
+        VM is one of them unless it is leaving.
     """
     claim = []
     hand_over = {}
@@ -61,11 +61,11 @@
         if not slot.established:
             continue
         preferred = preferred_owner(slot.number, alive)
-        mine = slot.owned_by(incarnation)
+        owned_here = slot.owned_by(incarnation)
         vacant = slot.released or slot.owner not in alive
-        restarted = slot.owner == me and not mine
-        if mine and preferred not in (me, None):
+        restarted = slot.owner == vm and not owned_here
+        if owned_here and preferred not in (vm, None):
             hand_over[slot.number] = preferred
-        elif preferred == me and not mine and (vacant or restarted):
+        elif preferred == vm and not owned_here and (vacant or restarted):
             claim.append(slot.number)
     return SlotPlan(tuple(claim), hand_over)
--- a/postspring/ownership/base.py
+++ b/postspring/ownership/base.py
@@ -1,4 +1,4 @@
-"""Bases: a slot's live state written to the log again before it expires."""
+"""Bases: snapshots of a slot, appended before its records expire."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -7,18 +7,18 @@
 from postspring.ownership import records
 from postspring import programs
 
-__all__ = ["load", "parts_of", "slot_base_records"]
+__all__ = ["find_parts", "restore", "slot_base_records"]
 
 
 def slot_base_records(slot: Any, author: str, as_of: int) -> list[Any]:
-    """Return the records that carry a slot's state as of an offset.
+    """Return the records of a base: a slot's state as of an offset.
 
     Parameters
     ----------
     slot : SlotState
         The slot, folded up to just before ``as_of``.
     author : str
-        The VM incarnation that writes them.
+        The VM incarnation that writes the base.
     """
     live = [program for program in slot.program_by_id.values() if program.live]
     parts: list[Any] = [
@@ -41,10 +41,10 @@
     return parts
 
 
-def parts_of(
+def find_parts(
     slot_base: records.SlotBase, candidates: Sequence[Any]
 ) -> list[records.ProgramBase] | None:
-    """Return the program parts of a base, or None if some are missing."""
+    """Return the program records of a base, or None if one is missing."""
     part_by_program = {
         record.program: record
         for record in candidates
@@ -56,12 +56,12 @@
     return [part_by_program[program] for program in slot_base.programs]
 
 
-def load(
+def restore(
     slot: Any,
     slot_base: records.SlotBase,
     parts: Sequence[records.ProgramBase],
 ) -> None:
-    """Give a slot the state that a base carries."""
+    """Set a slot to the state in a base."""
     slot.epoch = slot_base.epoch
     slot.owner = slot_base.owner
     slot.incarnation = slot_base.incarnation
@@ -71,7 +71,7 @@
     slot.established = True
     part_by_program = {part.program: part for part in parts}
     for part in parts:
-        _load_program(slot, part, part_by_program)
+        _restore_program(slot, part, part_by_program)
 
 
 def _program_base(
@@ -107,17 +107,17 @@
     )
 
 
-def _load_program(
+def _restore_program(
     slot: Any,
     part: records.ProgramBase,
     part_by_program: dict[str, records.ProgramBase],
 ) -> programs.Program:
-    known = slot.program_by_id.get(part.program)
-    if known is not None:
-        return known
+    existing = slot.program_by_id.get(part.program)
+    if existing is not None:
+        return existing
     parent_account = None
     if part.parent in part_by_program:
-        parent = _load_program(
+        parent = _restore_program(
             slot, part_by_program[part.parent], part_by_program
         )
         parent_account = parent.account
--- a/postspring/ownership/fold.py
+++ b/postspring/ownership/fold.py
@@ -1,7 +1,7 @@
-"""The fold of a slot stream: which records count, in the log's order.
+"""The fold of a slot stream: decides in log order which records count.
 
 Every VM of a data centre folds the same stream and reaches the same
-verdicts.  There are no clocks here and no I/O.
+verdicts.  The fold does no I/O and reads no clock.
 """
 
 from collections.abc import Callable
@@ -24,31 +24,31 @@
 def _rule(record_type: type) -> Callable:
     """Register the function that judges and applies a record type."""
 
-    def add(function: Callable) -> Callable:
+    def register(function: Callable) -> Callable:
         _RULE_BY_TYPE[record_type] = function
         return function
 
-    return add
+    return register
 
 
 def _sequenced_rule(record_type: type) -> Callable:
-    """Register a rule for a record that only the owner in force may write."""
+    """Register a rule for a record that only the current owner may write."""
 
-    def add(function: Callable) -> Callable:
+    def register(function: Callable) -> Callable:
         def fenced_rule(slot: SlotState, record: Any) -> Verdict:
-            fenced = _fenced(slot, record)
-            return function(slot, record) if fenced is None else fenced
+            verdict = _fencing_verdict(slot, record)
+            return function(slot, record) if verdict is None else verdict
 
         _RULE_BY_TYPE[record_type] = fenced_rule
         return function
 
-    return add
+    return register
 
 
 def _program_rule(record_type: type) -> Callable:
-    """Register a sequenced rule about a program that must be live."""
+    """Register a rule for a sequenced record of a live program."""
 
-    def add(function: Callable) -> Callable:
+    def register(function: Callable) -> Callable:
         @_sequenced_rule(record_type)
         def live_rule(slot: SlotState, record: Any) -> Verdict:
             program, verdict = _live_program(slot, record.program)
@@ -58,17 +58,17 @@
 
         return function
 
-    return add
+    return register
 
 
 class StreamFold:
-    """The state of all slots of a data centre, as its stream tells it.
+    """State of all slots of a data centre, folded from its log stream.
 
     Parameters
     ==========
 
     slots : int
-        How many slots the data centre has.
+        Number of slots of the data centre.
 
     Examples
     ========
@@ -93,8 +93,8 @@
     def apply(self, offset: int, record: Any) -> verdicts.Verdict:
         """Judge the record at ``offset`` and apply it if it counts.
 
-        Records must come in the order of their offsets; a record of None
-        stands for bytes that are not a record of this protocol.
+        Records must be applied in the order of their offsets; None stands
+        for bytes that could not be decoded as a record.
         """
         if offset < self.next_offset:
             raise ValueError(f"offset {offset} was applied before")
@@ -108,10 +108,10 @@
         return rule(slot, record)
 
     def skip_to(self, offset: int) -> None:
-        """Take note that the records before ``offset`` have expired.
+        """Continue at ``offset``, as earlier unread records have expired.
 
-        Slots whose state is not known need a base from then on: until one
-        is read whose author had read no less, nothing of them is judged.
+        All slots lose their state.  The records of a slot are judged only
+        once a complete base has been read that is as of ``offset`` or later.
         """
         self.next_offset = offset
         for number in self.slot_by_number:
@@ -121,22 +121,25 @@
             self.slot_by_number[number] = slot
 
     def program(self, program_id: str, slot: int) -> programs.Program | None:
-        """Return a program's state, or None if the slot has no such one."""
+        """Return a program's state, or None if the slot does not have it."""
         state = self.slot_by_number.get(slot)
         return None if state is None else state.program_by_id.get(program_id)
 
 
 def _apply_unestablished(slot: SlotState, offset: int, record: Any) -> Verdict:
-    """Keep a record until a base is whole; then judge what came since."""
+    """Keep a record until a complete base restores the slot's state.
+
+    The kept records from the base's ``as_of`` on are then judged.
+    """
     slot.unjudged.append((offset, record))
     if not isinstance(record, records.SlotBase):
         return Verdict.NO_BASE
-    parts = base.parts_of(record, [item for _, item in slot.unjudged])
+    parts = base.find_parts(record, [item for _, item in slot.unjudged])
     if record.as_of < slot.base_offset or parts is None:
         return Verdict.NO_BASE
     unjudged = slot.unjudged
     slot.unjudged = []
-    base.load(slot, record, parts)
+    base.restore(slot, record, parts)
     verdict = Verdict.NO_BASE
     for number, item in unjudged:
         if number >= record.as_of:
@@ -153,32 +156,32 @@
 
 @_rule(records.SlotBase)
 def _apply_slot_base(slot: SlotState, record: records.SlotBase) -> Verdict:
-    """Forget the ended programs that are not carried on."""
+    """Remove the ended programs that the base does not contain."""
     carried = set(record.programs)
-    gone = {
+    removed = {
         program.id
         for program in slot.program_by_id.values()
         if not program.live and program.id not in carried
     }
-    for program_id in gone:
+    for program_id in removed:
         del slot.program_by_id[program_id]
     slot.program_by_create_key = {
         key: program_id
         for key, program_id in slot.program_by_create_key.items()
-        if program_id not in gone
+        if program_id not in removed
     }
     for program in slot.program_by_id.values():
         program.children = [
-            child for child in program.children if child not in gone
+            child for child in program.children if child not in removed
         ]
     return Verdict.COUNTED
 
 
-def _fenced(slot: SlotState, record: Any) -> Verdict | None:
-    """Return why a sequenced record is fenced off, or None if it isn't.
+def _fencing_verdict(slot: SlotState, record: Any) -> Verdict | None:
+    """Return why a sequenced record is fenced, or None if it is not.
 
-    A record that passes raises the slot's sequence even if it is refused
-    for another reason, so that a later copy of it can't count either.
+    A record that is not fenced raises the slot's sequence, even if a rule
+    rejects it afterwards, so that no later copy of it counts.
     """
     if record.epoch != slot.epoch or slot.released:
         return Verdict.STALE_EPOCH
@@ -210,7 +213,7 @@
     slot.released = False
     slot.successor = None
     for program in slot.program_by_id.values():
-        # The former owner may have spent all of it without our knowing.
+        # The former owner may have spent all of it without logging that.
         program.close_allowance(charge=program.allowance)
     return Verdict.COUNTED
 
@@ -278,7 +281,9 @@
         record.request_digest,
         record.amount,
     )
-    return Verdict.COUNTED if program.open(intent) else Verdict.OVER_BUDGET
+    return (
+        Verdict.COUNTED if program.add_intent(intent) else Verdict.OVER_BUDGET
+    )
 
 
 @_program_rule(records.Abort)
@@ -300,11 +305,11 @@
     program = slot.program_by_id.get(record.program)
     if program is None:
         return Verdict.UNKNOWN_PROGRAM
-    known = program.turn_at(record.step)
-    if known is not None and known.digest == record.digest:
+    recorded = program.turn_at(record.step)
+    if recorded is not None and recorded.digest == record.digest:
         return Verdict.DUPLICATE
-    # A call that was under way at the end may have been answered: its turn
-    # counts.  What it may cost was charged by the end.
+    # The turn of a call that was running when the program ended counts.
+    # The end has charged what such a call may cost.
     if record.step != program.head.step + 1:
         return Verdict.NOT_NEXT_STEP
     if record.parent != program.head.digest or not record.intact:
@@ -319,10 +324,10 @@
 
 
 def _intent_matches(program: programs.Program, turn: records.Turn) -> bool:
-    """Return whether the turn closes just the intent that is open.
+    """Return whether the turn closes the open intent, or needs none.
 
-    While an intent is open only its outcome may follow; and a call that
-    may not be repeated can't be recorded without its intent.
+    While an intent is open, only its outcome may follow.  Without an open
+    intent, only turns of calls that may be repeated may follow.
     """
     intent = program.open_intent
     if intent is None:
@@ -340,7 +345,7 @@
         program.settle_intent(turn.cost)
     elif turn.epoch == slot.epoch:
         program.spend_allowance(turn.cost)
-    # The allowance of an earlier epoch was charged whole by the claim.
+    # The claim has charged all of the allowance of an earlier epoch.
     if turn.top_up and turn.epoch == slot.epoch and not slot.released:
         program.add_allowance(turn.top_up)
 
--- a/postspring/ownership/records.py
+++ b/postspring/ownership/records.py
@@ -2,8 +2,8 @@
 
 Sequenced records are written by the owner of a slot alone.  They carry the
 owner's epoch and a sequence number that grows within the epoch, like the
-producer epoch and sequence of an idempotent producer: a second copy, or a
-late copy that arrives after a later record, never counts.
+producer epoch and sequence of an idempotent producer: a second copy of a
+record never counts, nor does a record that arrives after a later one.
 """
 
 import dataclasses
@@ -32,7 +32,7 @@
 @slot_records.register("claim")
 @codec.message()
 class Claim:
-    """A VM takes a slot over, under the next epoch."""
+    """A VM becomes the owner of a slot under the next epoch."""
 
     slot: int
     epoch: int
@@ -41,13 +41,13 @@
 
     @property
     def identity(self) -> tuple:
-        """What copies of this record have in common."""
+        """Key that is equal for all copies of this record."""
         return ("claim", self.slot, self.epoch, self.incarnation)
 
 
 @codec.message()
 class _Sequenced:
-    """Fields of every record that only the owner in force may write."""
+    """Fields of the records that only the current owner may write."""
 
     slot: int
     epoch: int
@@ -55,17 +55,17 @@
 
     @property
     def identity(self) -> tuple:
-        """What copies of this record have in common."""
+        """Key that is equal for all copies of this record."""
         return ("sequenced", self.slot, self.epoch, self.sequence)
 
 
 @slot_records.register("release")
 @codec.message()
 class Release(_Sequenced):
-    """The owner gives the slot up; nothing of it is in flight.
+    """The owner gives up the slot, which has no calls in flight.
 
-    ``charge_by_program`` is the worst case, in micro-units, of attempts
-    whose usage the owner never learnt.
+    ``charge_by_program`` is the cost bound, in micro-units, of lost
+    attempts whose usage is unknown.
     """
 
     successor: str | None = None
@@ -75,7 +75,7 @@
 @slot_records.register("create")
 @codec.message()
 class Create(_Sequenced):
-    """A program begins.  ``budget`` is in micro-units."""
+    """A program is created.  ``budget`` is in micro-units."""
 
     program: str
     service: str
@@ -88,7 +88,7 @@
 @slot_records.register("reserve")
 @codec.message()
 class Reserve(_Sequenced):
-    """Money set aside for calls that may be repeated, in micro-units."""
+    """Reservation for calls that may be repeated, in micro-units."""
 
     program: str
     amount: int
@@ -109,7 +109,7 @@
 @slot_records.register("abort")
 @codec.message()
 class Abort(_Sequenced):
-    """The author of an intent has not dispatched it and never will."""
+    """The author of an intent has not dispatched its call, and never will."""
 
     program: str
     intent_sequence: int
@@ -118,7 +118,7 @@
 @slot_records.register("end")
 @codec.message()
 class End(_Sequenced):
-    """A program ends.  ``charge`` is what calls in flight may cost."""
+    """A program ends; ``charge`` bounds the cost of unfinished attempts."""
 
     program: str
     reason: programs.EndReason
@@ -127,7 +127,7 @@
 
 @codec.message()
 class IntentState:
-    """An open intent, as a base carries it."""
+    """An open intent, as part of a base."""
 
     epoch: int
     sequence: int
@@ -139,10 +139,10 @@
 
 @codec.message()
 class _Base:
-    """A part of a slot's state as of an offset.
+    """A part of a base: a snapshot of a slot's state as of an offset.
 
-    The fold is the same everywhere, so any VM may write a base; whoever
-    reads the stream from ``as_of`` or before can start from it.
+    All VMs fold the same state, so any VM may write a base.  A fold that
+    has read the stream from ``as_of`` or earlier can start from it.
     """
 
     slot: int
@@ -151,14 +151,14 @@
 
     @property
     def group(self) -> tuple:
-        """What the parts of one base have in common."""
+        """Key that is equal for all parts of one base."""
         return (self.slot, self.author, self.as_of)
 
 
 @slot_records.register("slot_base")
 @codec.message()
 class SlotBase(_Base):
-    """A slot's state; ``programs`` are those whose parts stand before."""
+    """A slot's state; the records of its live ``programs`` precede it."""
 
     epoch: int
     owner: str | None
@@ -170,7 +170,7 @@
 
     @property
     def identity(self) -> tuple:
-        """What copies of this record have in common."""
+        """Key that is equal for all copies of this record."""
         return ("slot_base", *self.group)
 
 
@@ -179,8 +179,8 @@
 class Turn:
     """A call and its answer.
 
-    A turn is not fenced by epoch: it counts if it follows the program's
-    head, whoever appends it and however often.
+    A turn is not fenced by epoch.  It counts if it follows the program's
+    head, no matter which VM appends it, and copies are duplicates.
 
     Parameters
     ==========
@@ -196,7 +196,7 @@
     status_code : int
         The upstream's HTTP status; 0 if there was none.
     cost, top_up : int
-        Micro-units: what the call cost, and what to reserve ahead.
+        Cost of the call, and reservation for further calls; micro-units.
     """
 
     slot: int
@@ -222,12 +222,12 @@
 
     @property
     def identity(self) -> tuple:
-        """What copies of this record have in common."""
+        """Key that is equal for all copies of this record."""
         return ("turn", self.program, self.step, self.digest)
 
     @property
     def intact(self) -> bool:
-        """Whether the digest is that of the turn's own content."""
+        """Whether the digest matches the content of the turn."""
         expected = programs.chain_digest(
             self.parent, self.step, self.request_digest, self.answer
         )
@@ -237,7 +237,7 @@
 @slot_records.register("program_base")
 @codec.message()
 class ProgramBase(_Base):
-    """A live program's state, its whole history included."""
+    """A live program's state, including all of its turns."""
 
     program: str
     service: str
@@ -254,5 +254,5 @@
 
     @property
     def identity(self) -> tuple:
-        """What copies of this record have in common."""
+        """Key that is equal for all copies of this record."""
         return ("program_base", self.program, *self.group)
--- a/postspring/ownership/slot.py
+++ b/postspring/ownership/slot.py
@@ -1,4 +1,4 @@
-"""One slot, as the records that count have made it."""
+"""State of a slot, as changed by the records that count."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 class SlotState:
-    """One slot: its owner and epoch, and the programs that live in it."""
+    """A slot: its owner and epoch, and the programs assigned to it."""
 
     __slots__ = (
         "number",
@@ -40,7 +40,7 @@
         self.unjudged: list[tuple[int, Any]] = []
 
     def owned_by(self, incarnation: str) -> bool:
-        """Return whether that VM incarnation is the owner in force."""
+        """Return whether that VM incarnation is the current owner."""
         return (
             self.established
             and not self.released
@@ -48,7 +48,7 @@
         )
 
     def tree(self, program_id: str):
-        """Yield the program and all the sub-agents below it."""
+        """Yield the program and all its descendants."""
         program = self.program_by_id[program_id]
         yield program
         for child in program.children:
--- a/postspring/ownership/tests/test_assignment.py
+++ b/postspring/ownership/tests/test_assignment.py
@@ -1,4 +1,4 @@
-"""Which VM should own which slot."""
+"""Tests of the assignment of slots to VMs."""
 
 import unittest
 
@@ -8,13 +8,13 @@
 
 
 class AssignmentTest(unittest.TestCase):
-    """Rendezvous hashing and plans."""
+    """Preferred owners and plans."""
 
     def setUp(self):
         self.fold = ownership.StreamFold(slots=64)
 
     def claim(self, slot, owner, incarnation=None):
-        """Append a claim."""
+        """Apply a claim."""
         state = self.fold.slot_by_number[slot]
         self.fold.apply(
             self.fold.next_offset,
@@ -32,7 +32,7 @@
             self.fold, vm, incarnation or f"{vm}.1", alive
         )
 
-    def test_every_slot_is_claimed_by_just_one(self):
+    def test_every_slot_is_claimed_by_exactly_one_vm(self):
         claimed = [slot for vm in VMS for slot in self.plan(vm).claim]
         self.assertEqual(list(range(64)), sorted(claimed))
 
@@ -49,12 +49,14 @@
     def test_a_restarted_vm_claims_its_own_slots_again(self):
         for slot in self.plan(VMS[0]).claim:
             self.claim(slot, VMS[0])
-        mine = self.plan(VMS[0], incarnation="vm-0.2").claim
-        self.assertEqual(mine, self.plan(VMS[0], incarnation="vm-0.3").claim)
-        self.assertTrue(mine)
+        claimed = self.plan(VMS[0], incarnation="vm-0.2").claim
+        self.assertEqual(
+            claimed, self.plan(VMS[0], incarnation="vm-0.3").claim
+        )
+        self.assertTrue(claimed)
         self.assertEqual((), self.plan(VMS[0]).claim)
 
-    def test_a_slot_of_a_live_owner_is_handed_over_not_taken(self):
+    def test_a_slot_of_a_live_owner_is_handed_over_not_claimed(self):
         for slot in range(64):
             self.claim(slot, VMS[0])
         self.assertEqual((), self.plan(VMS[1]).claim)
--- a/postspring/ownership/verdicts.py
+++ b/postspring/ownership/verdicts.py
@@ -1,4 +1,4 @@
-"""What the fold says of a record."""
+"""Verdicts of the fold on log records."""
 
 import enum
 
@@ -29,5 +29,5 @@
 
     @property
     def counted(self) -> bool:
-        """Whether the record took effect, now or as an earlier copy."""
+        """Whether this record or an earlier copy of it took effect."""
         return self in (Verdict.COUNTED, Verdict.DUPLICATE)
