--- a/postspring/programs/__init__.py
+++ b/postspring/programs/__init__.py
@@ -1,4 +1,4 @@
-"""Programs: the aggregate that keeps one program's calls and history."""
+"""Programs: state and turns of a program, and the digests of calls."""
 
 from postspring.programs.calls import CallKind
 from postspring.programs.calls import chain_digest
--- a/postspring/programs/calls.py
+++ b/postspring/programs/calls.py
@@ -1,4 +1,4 @@
-"""What a call is: its kind, its digests, its usage."""
+"""Properties of calls: kind, digests, status and usage."""
 
 import enum
 import hashlib
@@ -18,7 +18,7 @@
 
 
 class CallKind(enum.StrEnum):
-    """Which sort of upstream a call goes to."""
+    """Kind of upstream that a call goes to."""
 
     MODEL = "model"
     TOOL = "tool"
@@ -26,10 +26,10 @@
 
 
 class TurnStatus(enum.StrEnum):
-    """How a turn came out.
+    """Outcome of a turn.
 
-    ``UNKNOWN`` stands for a call that may not be repeated, was dispatched,
-    and whose outcome nobody living has seen.
+    ``UNKNOWN`` means that the call may not be repeated and may have been
+    dispatched, and that its outcome was not recorded in time.
     """
 
     ANSWERED = "answered"
@@ -46,14 +46,14 @@
 
 
 def request_digest(kind: CallKind, target: str, request: bytes) -> bytes:
-    """Return the digest that identifies what a call asks for.
+    """Return the digest that identifies the content of a call.
 
     Parameters
     ----------
     kind, target
         The call's kind and the model, tool or service it names.
     request : bytes
-        The request's JSON, in the form that the caller's VM built.
+        The request's JSON, exactly as the caller's VM encoded it.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (kind.value.encode(), target.encode(), request):
@@ -65,7 +65,7 @@
 def chain_digest(
     parent: bytes, step: int, request: bytes, answer: bytes
 ) -> bytes:
-    """Return the digest of a turn, chained to the turn it follows.
+    """Return the digest of a turn, chained to the preceding turn.
 
     Parameters
     ----------
--- a/postspring/programs/program.py
+++ b/postspring/programs/program.py
@@ -1,4 +1,4 @@
-"""The program aggregate: one program's state as the log tells it."""
+"""State of a program, as folded from the log."""
 
 import dataclasses
 import enum
@@ -20,7 +20,7 @@
 
 
 class ProgramStatus(enum.StrEnum):
-    """Whether a program still takes calls."""
+    """Whether a program still accepts calls."""
 
     LIVE = "live"
     ENDED = "ended"
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenIntent:
-    """A counted intent that has neither an outcome nor an abort."""
+    """A counted intent without an outcome or an abort."""
 
     epoch: int
     sequence: int
@@ -58,18 +58,18 @@
 
 
 class Program:
-    """One program: identity, ordered turns, open intent, account.
+    """A program: its turns in order, open intent and budget account.
 
     Explanation
     ===========
 
-    Only the fold of the slot stream changes a program.  Turns are dense
-    from step 1 and each names the digest of the one it follows, so a fork
-    or a gap can't be recorded.
+    Only the fold of the slot stream changes a program.  Steps are numbered
+    from 1 without gaps and each turn contains the digest of the preceding
+    one, so neither a gap nor a fork can be recorded.
 
-    ``allowance`` is money reserved ahead in the log, from which the owner
-    in force may dispatch calls that can be repeated without waiting for
-    the log.  A later owner counts what is left of it as spent.
+    ``allowance`` is an amount reserved in the log in advance.  From it the
+    current owner may dispatch repeatable calls without waiting for the log.
+    The claim of a later owner charges what is left of it as spent.
 
     Parameters
     ==========
@@ -79,7 +79,7 @@
     service : ServiceName
         The service that the program belongs to.
     priority : int
-        Larger goes first.
+        Calls of a program with a larger number are dispatched first.
     parent : ProgramId or None
         The parent program of a sub-agent.
     account : Account
@@ -126,36 +126,36 @@
 
     @property
     def live(self) -> bool:
-        """Whether the program still takes calls."""
+        """Whether the program still accepts calls."""
         return self.status is ProgramStatus.LIVE
 
     @property
     def head(self) -> Head:
-        """The latest counted turn."""
+        """Step and digest of the latest counted turn."""
         if not self.turns:
             return Head()
         turn = self.turns[-1]
         return Head(turn.step, turn.digest)
 
     def turn_at(self, step: int) -> Any | None:
-        """Return the counted turn with that step number, if there is one."""
+        """Return the counted turn with that step number, if any."""
         if 1 <= step <= len(self.turns):
             return self.turns[step - 1]
         return None
 
     def turn_with_key(self, key: str) -> Any | None:
-        """Return the counted turn of the call with that key, if any."""
+        """Return the counted turn with that idempotency key, if any."""
         step = self.step_by_key.get(key)
         return None if step is None else self.turn_at(step)
 
     def add_turn(self, turn: Any) -> None:
-        """Add a turn that follows the head; the fold checked that it does."""
+        """Add a turn; the fold has checked that it follows the head."""
         self.turns.append(turn)
         if turn.key:
             self.step_by_key[turn.key] = turn.step
 
     def add_allowance(self, amount: int) -> bool:
-        """Reserve ``amount`` ahead; return False if the budget is short."""
+        """Reserve ``amount``; return False if the budget is too small."""
         if not self.account.reserve(amount):
             return False
         self.allowance += amount
@@ -172,8 +172,8 @@
         self.account.settle(reserved=self.allowance, cost=charge)
         self.allowance = 0
 
-    def open(self, intent: OpenIntent) -> bool:
-        """Open an intent; return False if the budget is short."""
+    def add_intent(self, intent: OpenIntent) -> bool:
+        """Open an intent; return False if the budget is too small."""
         if not self.account.reserve(intent.amount):
             return False
         self.open_intent = intent
@@ -185,9 +185,10 @@
         self.open_intent = None
 
     def end(self, reason: EndReason, charge: int) -> None:
-        """End the program; ``charge`` is what calls in flight may cost.
+        """End the program; ``charge`` bounds the cost of unfinished calls.
 
-        An open intent stays, charged in full, for its outcome to come.
+        An open intent is charged in full and stays open, so that its
+        outcome can still be recorded.
         """
         self.close_allowance(charge=charge)
         if self.open_intent is not None:
