--- a/postspring/coordination/admission.py
+++ b/postspring/coordination/admission.py
@@ -72,8 +72,8 @@
         """Return whether a call that is refused may have run earlier.
 
         The next call may have been running when its program ended.  If it
-        may not be repeated, its intent is then open; a repeatable call has
-        no such record, so the answer is always ``UNKNOWN``.
+        may not be repeated, its intent is then open.  A repeatable call has
+        no record before its turn, so it counts as one that may have run.
         """
         program = state.program
         if program.live or message.step != state.tip.step + 1:
--- a/postspring/coordination/attempt_flow.py
+++ b/postspring/coordination/attempt_flow.py
@@ -40,7 +40,7 @@
     ) -> None:
         """Queue a call for an upstream; its cost is already reserved."""
         call.enter(CallState.WAITING, now)
-        if call.attempts == 0:
+        if call.attempt_count == 0:
             self._desk.retry_budget.deposit()
         self._desk.pool.submit(
             scheduling.Ticket(
@@ -80,7 +80,7 @@
         now: float,
     ) -> None:
         call.attempt = next(self._attempt_numbers)
-        call.attempts += 1
+        call.attempt_count += 1
         call.upstream = upstream.id
         if call.message.kind is programs.CallKind.MODEL:
             engines = self._desk.engines_by_program
@@ -194,8 +194,8 @@
         service = self._desk.configuration.services.get(state.program.service)
         if call.intent is not None or service is None:
             return turn
-        left = state.available_allowance - turn.cost
-        top_up = max(0, service.calls_ahead * call.cost_bound - left)
+        remaining = state.available_allowance - turn.cost
+        top_up = max(0, service.calls_ahead * call.cost_bound - remaining)
         fits = state.program.account.fits(top_up)
         return dataclasses.replace(turn, top_up=top_up if fits else 0)
 
@@ -272,19 +272,19 @@
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
     ) -> bool:
         if (
-            call.attempts >= self._desk.limits.max_attempts
+            call.attempt_count >= self._desk.limits.max_attempts
             or now >= call.deadline
         ):
             return False
         if not self._desk.pool.usable(call.message.target, now):
             return False
-        others = [
+        untried = [
             upstream
             for upstream in self._desk.pool.upstream_by_id.values()
             if call.message.target in upstream.serves
             and upstream.id not in call.excluded
         ]
-        if not others:
+        if not untried:
             call.excluded = frozenset()
         return self._desk.retry_budget.take()
 
--- a/postspring/coordination/call_flow.py
+++ b/postspring/coordination/call_flow.py
@@ -30,7 +30,7 @@
     def __init__(self, context: desk.OwnerContext):
         self._desk = context
 
-    def call(
+    def handle_call(
         self, message: messages.CallProgram, to: effects.ReplyTo, now: float
     ) -> None:
         """Answer a call from history, refuse it, or queue it."""
@@ -69,7 +69,7 @@
         to: effects.ReplyTo,
         now: float,
     ) -> bool:
-        """Reply to a call whose step or key has a turn; return whether so."""
+        """Reply to a call whose step or key has a turn; return if so."""
         if message.key:
             turn = state.turn_with_key(message.key)
             if turn is not None:
@@ -95,7 +95,7 @@
         message: messages.CallProgram,
         to: effects.ReplyTo,
     ) -> bool:
-        """Handle a request whose call is queued or active, if there is one."""
+        """Handle a request whose call is queued or active; return if so."""
         call = state.queue_by_step.get(message.step)
         if call is None and state.active is not None:
             if state.active.message.step == message.step:
@@ -141,12 +141,14 @@
         claimed_at = self._desk.claimed_at_by_slot.get(slot.number, 0.0)
         if now < claimed_at + self._desk.limits.outcome_grace:
             return False
-        same = call.message.digest == intent.request_digest
+        same_request = call.message.digest == intent.request_digest
         turn = turns.abandoned_intent_turn(
-            slot, state.program, call.message.request if same else b"{}"
+            slot,
+            state.program,
+            call.message.request if same_request else b"{}",
         )
         waiters = []
-        if same and call.message.key == intent.key:
+        if same_request and call.message.key == intent.key:
             waiters = call.waiters
             del state.queue_by_step[call.message.step]
         self._desk.turns.commit(state, turn, waiters, now)
@@ -259,7 +261,7 @@
     def _check_reservation(
         self, state: runtime.ProgramRuntime, call: runtime.Call, amount: int
     ) -> bool:
-        """Return whether ``amount`` can be reserved; refuse if it can't."""
+        """Return whether ``amount`` can be reserved, else refuse the call."""
         if not state.program.account.fits(amount):
             self._desk.refuse_active(state, call, Reason.OVER_BUDGET)
             return False
@@ -289,7 +291,7 @@
             )
 
     def expire(self, state: runtime.ProgramRuntime, now: float) -> None:
-        """Refuse calls past their deadline or the log's timeout."""
+        """Refuse calls past their deadline or past ``log_timeout``."""
         for step, call in list(state.queue_by_step.items()):
             if now >= call.deadline:
                 del state.queue_by_step[step]
--- a/postspring/coordination/lifecycle.py
+++ b/postspring/coordination/lifecycle.py
@@ -233,7 +233,10 @@
                 self.release(slot, program.id)
 
     def end_idle(self, now: float) -> None:
-        """End programs that have had no call for ``idle_seconds``."""
+        """End programs that have had no call for ``idle_seconds``.
+
+        Programs that have sub-agents are not ended.
+        """
         context = self._desk
         for slot in context.fold.slot_by_number.values():
             if not context.owns(slot):
--- a/postspring/coordination/owner.py
+++ b/postspring/coordination/owner.py
@@ -78,7 +78,7 @@
             messages.CreateProgram: self._lifecycle.create,
             messages.ReadProgram: self._lifecycle.read,
             messages.EndProgram: self._lifecycle.end,
-            messages.CallProgram: self._calls.call,
+            messages.CallProgram: self._calls.handle_call,
             messages.FinishAttempt: self._attempts.finish,
             messages.LoseAttempt: self._attempts.lose,
         }
@@ -159,12 +159,12 @@
         return taken
 
     def release_slot(self, slot: int, successor: str | None) -> bool:
-        """Release a slot unless one of its programs has calls or turns left.
+        """Release a slot unless it has unfinished calls or pending turns.
 
         Returns whether the release was appended.
         """
         context = self._desk
-        charges = {}
+        charge_by_program = {}
         for program_id in context.fold.slot_by_number[slot].program_by_id:
             state = context.runtime_by_program.get(program_id)
             if state is None:
@@ -172,14 +172,14 @@
             if not state.idle:
                 return False
             if state.lost_cost:
-                charges[program_id] = state.lost_cost
-        for program_id in charges:
+                charge_by_program[program_id] = state.lost_cost
+        for program_id in charge_by_program:
             context.runtime_by_program[program_id].lost_cost = 0
         context.append(
             ownership.Release,
             slot,
             successor=successor,
-            charge_by_program=charges,
+            charge_by_program=charge_by_program,
         )
         return True
 
--- a/postspring/coordination/refusals.py
+++ b/postspring/coordination/refusals.py
@@ -63,8 +63,8 @@
     ran : Ran
         Whether the request may have run.
     retry_after_ms : int or None
-        Delay before a retry, in milliseconds; None if the same request is
-        not expected to succeed later.
+        Suggested delay before a retry, in milliseconds; None if no retry is
+        suggested.
     detail : str
         Human-readable explanation.
     """
--- a/postspring/coordination/runtime.py
+++ b/postspring/coordination/runtime.py
@@ -51,7 +51,7 @@
     state_since: float = 0.0
     cost_bound: int = 0
     attempt: int = 0
-    attempts: int = 0
+    attempt_count: int = 0
     runner: str = ""
     upstream: str = ""
     excluded: frozenset[str] = frozenset()
@@ -77,7 +77,7 @@
     """A turn that is not in the log yet, and the requests for it."""
 
     turn: ownership.Turn
-    since: float
+    appended_at: float
     waiters: list[effects.ReplyTo]
     held: bool = False
 
--- a/postspring/coordination/turn_flow.py
+++ b/postspring/coordination/turn_flow.py
@@ -157,7 +157,7 @@
             superseded.append(queued)
         for call in superseded:
             for to in call.waiters:
-                self._desk.calls.call(call.message, to, now)
+                self._desk.calls.handle_call(call.message, to, now)
         self._desk.calls.advance(state, now)
 
     def _refuse_unknown(self, pending: runtime.PendingTurn) -> None:
@@ -180,7 +180,7 @@
     def hold_overdue(self, state: runtime.ProgramRuntime, now: float) -> None:
         """Answer as held the turns that waited too long for the log."""
         for pending in state.pending:
-            if now - pending.since < self._desk.limits.hold_after:
+            if now - pending.appended_at < self._desk.limits.hold_after:
                 continue
             if pending.turn.status is programs.TurnStatus.UNKNOWN:
                 self._refuse_unknown(pending)
--- a/postspring/ownership/records.py
+++ b/postspring/ownership/records.py
@@ -180,7 +180,7 @@
     """A call and its answer.
 
     A turn is not fenced by epoch.  It counts if it follows the program's
-    head, no matter which VM appends it, and copies are duplicates.
+    head, no matter which VM appends it; further copies are duplicates.
 
     Parameters
     ==========
--- a/postspring/programs/calls.py
+++ b/postspring/programs/calls.py
@@ -29,7 +29,7 @@
     """Outcome of a turn.
 
     ``UNKNOWN`` means that the call may not be repeated and may have been
-    dispatched, and that its outcome was not recorded in time.
+    dispatched, and that the owner which closed it had no answer.
     """
 
     ANSWERED = "answered"
--- a/postspring/programs/program.py
+++ b/postspring/programs/program.py
@@ -79,7 +79,7 @@
     service : ServiceName
         The service that the program belongs to.
     priority : int
-        Calls of a program with a larger number are dispatched first.
+        Rank under priority scheduling; a larger number goes first.
     parent : ProgramId or None
         The parent program of a sub-agent.
     account : Account
