--- a/postspring/sharedlog/__init__.py
+++ b/postspring/sharedlog/__init__.py
@@ -1,4 +1,4 @@
-"""The shared log: clients of the append-only log and of the list of VMs."""
+"""Clients of the platform's append-only log and of its list of VMs."""
 
 from postspring.sharedlog.appender import StreamAppender
 from postspring.sharedlog.log_client import LogClient
--- a/postspring/sharedlog/appender.py
+++ b/postspring/sharedlog/appender.py
@@ -1,4 +1,4 @@
-"""Group commit: many records in few appends, in order."""
+"""Group commit: appends records to a stream in ordered batches."""
 
 from collections.abc import Callable
 from collections.abc import Hashable
@@ -9,37 +9,39 @@
 
 __all__ = ["StreamAppender"]
 
-FIRST_RETRY_SECONDS = 0.05
-LONGEST_RETRY_SECONDS = 1.0
+RETRY_BASE_SECONDS = 0.05
+MAX_RETRY_SECONDS = 1.0
 MAX_BATCH_BYTES = 1024 * 1024
 
 
 class StreamAppender:
-    """Appends records of this process to one stream.
+    """Appends this process's records to one stream.
 
     Explanation
     ===========
 
-    One batch is under way at a time and the rest waits, so batches grow
-    with the load and records keep their order.  A batch whose answer is
-    lost is sent again until it is answered, or until the tail has shown
-    all its records; the fold tells copies apart.
+    At most one batch is in flight.  Records that arrive meanwhile wait for
+    the next one, so batches grow with the load and records keep their
+    order.  The records of a failed append are appended again, with
+    exponential backoff, until an append succeeds or ``seen`` was called for
+    each of them.  The log may therefore hold a record more than once; the
+    fold of the stream has to ignore the duplicates.
 
     Parameters
     ==========
 
     client : LogClient
-        The log.
+        Appends to the log.
     stream : str
-        The stream's name.
+        Name of the stream.
     timers : Timers
-        For retries and the batch delay.
+        Schedule batches and retries.
     on_offset : callable
-        Called with ``(offset, identities)`` of an answered batch.
+        Called with ``(offset, identities)`` of each appended batch.
     on_health : callable
-        Called with True or False after each answer or failure.
+        Called with True after each append and with False after a failed one.
     batch_delay : float
-        Seconds to wait for more records before an append.
+        Seconds for which a batch collects records before it is appended.
     """
 
     def __init__(
@@ -64,31 +66,31 @@
         self.appends = 0
 
     def add(self, identity: Hashable, data: bytes) -> None:
-        """Append a record, soon."""
+        """Append a record with the next batch."""
         self._data_by_identity[identity] = data
         if not self._in_flight and self._timer is None:
             self._schedule(self._batch_delay)
 
     def seen(self, identity: Hashable) -> None:
-        """Take note that the tail has shown the record."""
+        """Drop a record that was read back from the log."""
         self._data_by_identity.pop(identity, None)
 
     @property
     def waiting(self) -> int:
-        """Number of records that are not known to be in the log."""
+        """Number of records not yet known to be in the log."""
         return len(self._data_by_identity)
 
     def retry_now(self) -> None:
-        """Try again at once: the log was seen to be up."""
+        """Retry a failed append without waiting for its backoff to end."""
         if self._timer is not None and self._failures:
             self._schedule(0)
 
     def _schedule(self, seconds: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._timers.call_later(seconds, self._append)
+        self._timer = self._timers.call_later(seconds, self._append_batch)
 
-    def _append(self) -> None:
+    def _append_batch(self) -> None:
         self._timer = None
         if self._in_flight or not self._data_by_identity:
             return
@@ -103,10 +105,10 @@
         self.appends += 1
         records = [self._data_by_identity[identity] for identity in batch]
         self._client.append(
-            self._stream, records, self._appended, self._failed
+            self._stream, records, self._on_appended, self._on_append_failed
         )
 
-    def _appended(self, offset: int) -> None:
+    def _on_appended(self, offset: int) -> None:
         batch = self._in_flight
         self._in_flight = []
         self._failures = 0
@@ -117,9 +119,9 @@
         if self._data_by_identity and self._timer is None:
             self._schedule(self._batch_delay)
 
-    def _failed(self, error: errors.PlatformError) -> None:
+    def _on_append_failed(self, error: errors.PlatformError) -> None:
         self._in_flight = []
         self._failures += 1
-        pause = FIRST_RETRY_SECONDS * 2 ** min(self._failures, 10)
-        self._schedule(min(pause, LONGEST_RETRY_SECONDS))
+        delay = RETRY_BASE_SECONDS * 2 ** min(self._failures, 10)
+        self._schedule(min(delay, MAX_RETRY_SECONDS))
         self._on_health(False)
--- a/postspring/sharedlog/log_client.py
+++ b/postspring/sharedlog/log_client.py
@@ -1,13 +1,13 @@
 """Client of the platform's append-only log.
 
-The log's interface, as the platform's stand-in serves it:
+The log's HTTP interface, as the platform's stand-in serves it:
 
 ``POST /streams/<name>`` with a CBOR array of byte strings appends them as
-one batch and answers JSON ``{"offset": first}``.
+one batch and returns JSON ``{"offset": first}``.
 
-``GET /streams/<name>?from=N&limit=M&wait=S`` answers CBOR
+``GET /streams/<name>?from=N&limit=M&wait=S`` returns CBOR
 ``{"first": oldest kept, "next": next offset, "records": [[offset, bytes]]}``,
-waiting up to ``S`` seconds for a record to come.
+waiting up to ``S`` seconds for a new record.
 """
 
 from collections.abc import Callable
@@ -21,55 +21,68 @@
 
 __all__ = ["LogClient", "LogPage"]
 
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
-READ_SLACK_SECONDS = 2.0
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+TIMEOUT_SECONDS = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogPage:
-    """A part of a stream: ``first`` and ``next`` are offsets."""
+    """Records of a stream that one read returned.
+
+    Parameters
+    ==========
+
+    first : int
+        Offset of the oldest record that the log still has.
+    next : int
+        Offset that the next new record will get.
+    records : tuple of (int, bytes)
+        Offset and content of each record.
+    """
 
     first: int
     next: int
     records: tuple[tuple[int, bytes], ...]
 
 
-class _WholeAnswer(transport.HttpListener):
-    """Collects a whole answer, then hands it on."""
+class _LogResponse(transport.HttpListener):
+    """Collects a response of the log and passes its body to a callback."""
 
-    def __init__(self, on_answer: Callable, on_error: Callable):
-        self._on_answer = on_answer
+    def __init__(self, on_body: Callable, on_error: Callable):
+        self._on_body = on_body
         self._on_error = on_error
         self._status = 0
         self._body = bytearray()
 
     def head(self, status, headers):
-        """Keep the status."""
+        """Store the status."""
         self._status = status
 
     def data(self, chunk):
-        """Keep a part of the body, within bounds."""
-        if len(self._body) + len(chunk) <= MAX_ANSWER_BYTES:
+        """Append a chunk unless the body would exceed its size limit."""
+        if len(self._body) + len(chunk) <= MAX_RESPONSE_BYTES:
             self._body += chunk
 
     def end(self):
-        """Hand the answer on."""
+        """Pass the body on, or an error if the status is not 200."""
         if self._status != 200:
             text = f"log answered {self._status}: {bytes(self._body[:200])!r}"
             self._on_error(errors.PlatformError(text))
             return
         try:
-            self._on_answer(bytes(self._body))
+            self._on_body(bytes(self._body))
         except (ValueError, KeyError, TypeError) as error:
-            raise errors.PlatformError(f"log's answer: {error}") from error
+            raise errors.PlatformError(
+                f"invalid response of the log: {error}"
+            ) from error
 
     def failed(self, error):
-        """Turn the transport's error into the platform's."""
+        """Pass a transport error on as a ``PlatformError``."""
         self._on_error(errors.PlatformError(str(error)))
 
 
 class LogClient:
-    """Appends to and reads from streams.
+    """Appends to and reads from streams of the log.
 
     Parameters
     ==========
@@ -77,16 +90,16 @@
     http : HttpClient
         Sends the requests.
     address : tuple of (str, int)
-        The log service's IP number and port.
+        IP address and port of the log service.
     timeout : float
-        Seconds for an append, and for a read beyond its wait.
+        Seconds for an append, and for a read in addition to its wait.
     """
 
     def __init__(
         self,
         http: transport.HttpClient,
         address: tuple[str, int],
-        timeout: float = READ_SLACK_SECONDS,
+        timeout: float = TIMEOUT_SECONDS,
     ):
         self._http = http
         self._address = address
@@ -99,9 +112,9 @@
         on_offset: Callable[[int], None],
         on_error: Callable[[errors.PlatformError], None],
     ) -> None:
-        """Append a batch; after an error it may or may not have happened."""
+        """Append a batch; after an error it may or may not be in the log."""
 
-        def answer(body: bytes) -> None:
+        def handle_body(body: bytes) -> None:
             on_offset(int(json.loads(body)["offset"]))
 
         request = transport.HttpRequest(
@@ -113,7 +126,7 @@
             connect_timeout=min(1.0, self._timeout),
             timeout=self._timeout,
         )
-        self._http.send(request, _WholeAnswer(answer, on_error))
+        self._http.send(request, _LogResponse(handle_body, on_error))
 
     def read(
         self,
@@ -124,12 +137,13 @@
         on_error: Callable[[errors.PlatformError], None],
         limit: int = 2000,
     ) -> transport.Exchange:
-        """Read from ``offset`` on, waiting up to ``wait`` seconds."""
+        """Read from ``offset`` on; the log waits up to ``wait`` seconds."""
 
-        def answer(body: bytes) -> None:
+        def handle_body(body: bytes) -> None:
             page = cbor2.loads(body)
             records = tuple(
-                (int(number), bytes(data)) for number, data in page["records"]
+                (int(record_offset), bytes(data))
+                for record_offset, data in page["records"]
             )
             on_page(LogPage(int(page["first"]), int(page["next"]), records))
 
@@ -142,4 +156,4 @@
             connect_timeout=min(1.0, self._timeout),
             timeout=wait + self._timeout,
         )
-        return self._http.send(request, _WholeAnswer(answer, on_error))
+        return self._http.send(request, _LogResponse(handle_body, on_error))
--- a/postspring/sharedlog/tail.py
+++ b/postspring/sharedlog/tail.py
@@ -1,4 +1,4 @@
-"""Following a stream from an offset on."""
+"""Follows a stream of the shared log by long polling."""
 
 from collections.abc import Callable
 import logging
@@ -10,29 +10,36 @@
 __all__ = ["StreamTail"]
 
 LOG = logging.getLogger(__name__)
-WAIT_SECONDS = 10.0
-FIRST_RETRY_SECONDS = 0.1
-LONGEST_RETRY_SECONDS = 1.0
+LONG_POLL_SECONDS = 10.0
+RETRY_BASE_SECONDS = 0.1
+MAX_RETRY_SECONDS = 1.0
 
 
 class StreamTail:
-    """Reads a stream for as long as the process runs.
+    """Reads the pages of a stream until it is closed.
+
+    Explanation
+    ===========
+
+    Each read starts at ``next_offset()``.  Failed reads are repeated with
+    exponential backoff.  ``caught_up`` is False until a page has reached
+    the end of the stream, and is set anew after each page.
 
     Parameters
     ==========
 
     client : LogClient
-        The log.
+        Reads from the log.
     stream : str
-        The stream's name.
+        Name of the stream.
     timers : Timers
-        For retries.
+        Schedule the next read and retries.
     on_page : callable
         Called with each :class:`~postspring.sharedlog.LogPage`.
     on_health : callable
-        Called with True or False after each answer or failure.
+        Called with True after each page and with False after each failure.
     next_offset : callable
-        Returns the offset to read from.
+        Returns the offset of the first record not yet applied.
     """
 
     def __init__(
@@ -56,11 +63,11 @@
         self.caught_up = False
 
     def start(self) -> None:
-        """Begin to follow the stream."""
+        """Send the first read."""
         self._read()
 
     def close(self) -> None:
-        """Stop following it."""
+        """Cancel the current read and send no more."""
         self._closed = True
         if self._exchange is not None:
             self._exchange.cancel()
@@ -68,24 +75,28 @@
     def _read(self) -> None:
         if self._closed:
             return
-        # Until the first answer, ask without waiting, to know the end.
-        wait = WAIT_SECONDS if self.caught_up else 0.0
+        # A read that does not wait returns the end of the stream at once.
+        wait = LONG_POLL_SECONDS if self.caught_up else 0.0
         self._exchange = self._client.read(
-            self._stream, self._next_offset(), wait, self._page, self._failed
+            self._stream,
+            self._next_offset(),
+            wait,
+            self._on_read,
+            self._on_read_failed,
         )
 
-    def _page(self, page: log_client.LogPage) -> None:
+    def _on_read(self, page: log_client.LogPage) -> None:
         self._failures = 0
         try:
             self._on_page(page)
         except Exception:
-            LOG.exception("a page of %s could not be applied", self._stream)
+            LOG.exception("failed to apply a page of stream %s", self._stream)
         self.caught_up = self._next_offset() >= page.next
         self._on_health(True)
         self._timers.call_later(0, self._read)
 
-    def _failed(self, error: errors.PlatformError) -> None:
+    def _on_read_failed(self, error: errors.PlatformError) -> None:
         self._failures += 1
-        pause = FIRST_RETRY_SECONDS * 2 ** min(self._failures, 10)
-        self._timers.call_later(min(pause, LONGEST_RETRY_SECONDS), self._read)
+        delay = RETRY_BASE_SECONDS * 2 ** min(self._failures, 10)
+        self._timers.call_later(min(delay, MAX_RETRY_SECONDS), self._read)
         self._on_health(False)
--- a/postspring/sharedlog/vm_list.py
+++ b/postspring/sharedlog/vm_list.py
@@ -1,7 +1,8 @@
-"""The platform's list of live and leaving VMs; it lags.
+"""Polls the platform's list of live and leaving VMs.
 
-``GET /vms`` answers a JSON array of objects with ``vm``, ``data_center``,
-``address`` (``ip:port`` of the peer listener) and ``state``.
+``GET /vms`` returns a JSON array of objects with ``vm``, ``data_center``,
+``address`` (``ip:port`` of the peer listener) and ``state``.  The list lags
+behind the VMs' real state.
 """
 
 from collections.abc import Callable
@@ -19,14 +20,14 @@
 
 
 class VmState(enum.StrEnum):
-    """What the platform says of a VM."""
+    """State of a VM according to the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class VmEntry(pydantic.BaseModel):
-    """One VM of the list."""
+    """One VM in the platform's list."""
 
     model_config = pydantic.ConfigDict(frozen=True, extra="ignore")
 
@@ -36,11 +37,11 @@
     state: VmState = VmState.LIVE
 
 
-_ENTRIES = pydantic.TypeAdapter(list[VmEntry])
+_ENTRY_LIST = pydantic.TypeAdapter(list[VmEntry])
 
 
 class VmList(transport.HttpListener):
-    """Polls the list; when it can't be read, the last one stays.
+    """Polls the list and keeps the last one that was read and parsed.
 
     Parameters
     ==========
@@ -48,11 +49,11 @@
     http : HttpClient
         Sends the requests.
     address : tuple of (str, int)
-        The platform's IP number and port.
+        IP address and port of the platform.
     timers : Timers
-        For polling.
+        Schedule the polls.
     on_change : callable
-        Called with no argument after a list that differs.
+        Called without arguments when a poll returns a different list.
     """
 
     def __init__(
@@ -72,11 +73,11 @@
         self.entry_by_vm: dict[str, VmEntry] = {}
 
     def start(self) -> None:
-        """Begin to poll."""
+        """Send the first poll."""
         self._poll()
 
     def close(self) -> None:
-        """Stop polling."""
+        """Send no more polls."""
         self._closed = True
 
     def in_data_center(self, data_center: str) -> list[VmEntry]:
@@ -88,22 +89,22 @@
         ]
 
     def head(self, status, headers):
-        """Keep the status of a poll's answer."""
+        """Store the status of the response."""
         self._status = status
 
     def data(self, chunk):
-        """Keep a part of a poll's answer."""
+        """Append a chunk of the response body."""
         self._body += chunk
 
     def end(self):
-        """Take a new list over."""
-        self._again()
+        """Parse the response and replace the list if it differs."""
+        self._schedule_poll()
         if self._status != 200:
             return
         try:
-            entries = _ENTRIES.validate_json(bytes(self._body))
+            entries = _ENTRY_LIST.validate_json(bytes(self._body))
         except pydantic.ValidationError as error:
-            LOG.warning("the list of VMs can't be read: %s", error)
+            LOG.warning("failed to parse the list of VMs: %s", error)
             return
         entry_by_vm = {entry.vm: entry for entry in entries}
         if entry_by_vm != self.entry_by_vm:
@@ -111,10 +112,10 @@
             self._on_change()
 
     def failed(self, error):
-        """Keep the last list and poll again."""
-        self._again()
+        """Keep the last list and schedule the next poll."""
+        self._schedule_poll()
 
-    def _again(self) -> None:
+    def _schedule_poll(self) -> None:
         if not self._closed:
             self._timers.call_later(POLL_SECONDS, self._poll)
 
