--- a/postspring/peers/__init__.py
+++ b/postspring/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Peers: links between the system's own VMs, by websockets with CBOR."""
+"""Links between postspring's own VMs: CBOR messages on websockets."""
 
 from postspring.peers.hub import PeerHub
 from postspring.peers.messages import AppendRecords
--- a/postspring/peers/hub.py
+++ b/postspring/peers/hub.py
@@ -1,4 +1,4 @@
-"""All links of a VM: requests and replies, heartbeats, silence."""
+"""Requests, replies and heartbeats on the links to all other VMs."""
 
 from collections.abc import Callable
 import logging
@@ -17,7 +17,7 @@
 
 
 class _Peer:
-    """What the hub keeps of one other VM."""
+    """State of one other VM at the hub."""
 
     __slots__ = (
         "vm",
@@ -43,8 +43,8 @@
         self.dialled_at = 0.0
 
 
-class _Asked:
-    """A request that has no reply yet."""
+class _PendingRequest:
+    """A request without a reply yet."""
 
     __slots__ = ("vm", "on_reply", "on_error", "timer", "sent")
 
@@ -57,36 +57,39 @@
 
 
 class PeerHub:
-    """Talks to the other VMs.
+    """Sends requests to the other VMs and detects VMs that are silent.
 
     Explanation
     ===========
 
-    Requests go out on links that this VM dialled; their replies come back
-    on the same link.  A peer that does not answer heartbeats for
-    ``silence`` seconds is taken for dead: its link is closed and
-    ``on_lost`` is called.  That only decides when to *try* a takeover.
+    Requests are sent on links that this VM opened; the peer replies on the
+    same link.  If a peer does not answer heartbeats for ``silence``
+    seconds, the hub closes its link.  Whenever the link to a listed peer
+    closes, the hub calls ``on_lost``.  The peer may still run: a loss only
+    decides when to *try* a takeover.
 
     Parameters
     ==========
 
     timers : Timers
-        For heartbeats and timeouts.
+        Schedule heartbeats and timeouts.
     vm : str
         This VM's id.
     bind : tuple of (str, int)
-        Where other VMs reach this one.
+        IP address and port on which this VM accepts links.
     key : str
-        The key that all VMs share; empty for none.
+        Key that all VMs share; empty for none.
     on_request : callable
-        Called with ``(vm, message, reply)`` for each request; ``reply`` is
-        to be called with the reply, at any later time.
+        Called with ``(vm, message, reply)`` for each request other than a
+        heartbeat; it calls ``reply`` with the reply, then or later.
     heartbeat : callable
         Returns this VM's :class:`Heartbeat`.
     on_heartbeat, on_lost : callable
-        Called with a peer's heartbeat, and with the id of a lost peer.
+        Called with each heartbeat of a peer, and with the id of a peer
+        whose link was closed.
     interval, silence : float
-        Seconds between heartbeats, and without one until a peer is lost.
+        Seconds between heartbeats, and seconds without an answer to one
+        after which a peer is lost.
     """
 
     def __init__(
@@ -113,47 +116,52 @@
         self._silence = silence
         self._peer_by_vm: dict[str, _Peer] = {}
         self._vm_by_link: dict[link.PeerLink, str] = {}
-        self._asked_by_number: dict[int, _Asked] = {}
+        self._pending_by_number: dict[int, _PendingRequest] = {}
         self._next_number = 1
-        self._ticker: transport.TimerHandle | None = None
+        self._heartbeat_timer: transport.TimerHandle | None = None
         self.sockets = transport.SocketHub(
-            timers, bind, self._accepted, channel="peers"
+            timers, bind, self._create_incoming_link, channel="peers"
         )
 
     def start(self) -> None:
-        """Begin to send heartbeats."""
-        self._ticker = self._timers.call_every(self._interval, self._tick)
+        """Start to connect to peers and to send heartbeats."""
+        self._heartbeat_timer = self._timers.call_every(
+            self._interval, self._check_peers
+        )
 
     def close(self) -> None:
-        """Close all links."""
-        if self._ticker is not None:
-            self._ticker.cancel()
+        """Stop the heartbeats and close the links that this VM opened."""
+        if self._heartbeat_timer is not None:
+            self._heartbeat_timer.cancel()
         for peer in self._peer_by_vm.values():
             if peer.link is not None:
                 peer.link.shut()
 
     def replace_peers(self, address_by_vm: dict[str, tuple]) -> None:
-        """Keep links to just these VMs."""
+        """Set the peers; close the links that this VM opened to others."""
         for vm in list(self._peer_by_vm):
             peer = self._peer_by_vm[vm]
             if address_by_vm.get(vm) != peer.address:
                 del self._peer_by_vm[vm]
                 if peer.link is not None:
                     peer.link.shut()
-                self._fail_requests(vm, "no longer listed")
+                self._fail_requests_to(vm, "no longer listed")
         for vm, address in address_by_vm.items():
             if vm not in self._peer_by_vm:
                 self._peer_by_vm[vm] = _Peer(vm, address, self._timers.now())
 
     def responsive(self, vm: str) -> bool:
-        """Return whether the peer answered of late."""
+        """Return whether a heartbeat was answered within ``silence`` seconds.
+
+        A new peer and a newly opened link count as an answer.
+        """
         peer = self._peer_by_vm.get(vm)
         if peer is None:
             return False
         return self._timers.now() - peer.last_heard < self._silence
 
     def leaving(self, vm: str) -> bool:
-        """Return whether the peer said that it is shutting down."""
+        """Return whether the peer's last heartbeat says it shuts down."""
         peer = self._peer_by_vm.get(vm)
         return (
             peer is not None
@@ -162,7 +170,7 @@
         )
 
     def reaches_log(self, vm: str) -> bool:
-        """Return whether the peer responds and said it reaches the log."""
+        """Return whether the peer is responsive and reaches the log."""
         peer = self._peer_by_vm.get(vm)
         return (
             self.responsive(vm)
@@ -170,10 +178,10 @@
             and peer.heartbeat.reaches_log
         )
 
-    def connected(self, vm: str) -> bool:
-        """Return whether there is an open link to the peer."""
+    def is_connected(self, vm: str) -> bool:
+        """Return whether this VM has an open link to the peer."""
         peer = self._peer_by_vm.get(vm)
-        return peer is not None and peer.link is not None and peer.link.open
+        return peer is not None and peer.link is not None and peer.link.is_open
 
     def ask(
         self,
@@ -183,39 +191,44 @@
         on_reply: Callable[[Any], None],
         on_error: Callable[[errors.TransportError], None],
     ) -> None:
-        """Send a request; exactly one of the two functions is called.
+        """Send a request, now or as soon as a link to the peer is open.
 
-        The error says whether the request may have reached the peer.
+        Either ``on_reply`` or ``on_error`` is called, once.  The error says
+        whether the request may have reached the peer.
         """
         peer = self._peer_by_vm.get(vm)
         number = self._next_number
         self._next_number += 1
-        timer = self._timers.call_later(timeout, self._time_out, number)
-        asked = _Asked(vm, on_reply, on_error, timer)
-        self._asked_by_number[number] = asked
+        timer = self._timers.call_later(
+            timeout, self._on_request_timeout, number
+        )
+        pending = _PendingRequest(vm, on_reply, on_error, timer)
+        self._pending_by_number[number] = pending
         if peer is None:
-            self._timers.call_later(0, self._fail, number, "unknown VM")
-        elif peer.link is not None and peer.link.open:
+            self._timers.call_later(
+                0, self._fail_request, number, "unknown VM"
+            )
+        elif peer.link is not None and peer.link.is_open:
             self._send(peer, number, message)
         else:
             peer.queue.append((number, message))
             self._dial(peer)
 
     def tell(self, vm: str, message: Any) -> None:
-        """Send a request whose reply does not matter."""
-        self.ask(vm, message, 5.0, _ignore, _ignore)
+        """Send a request and ignore its reply or error."""
+        self.ask(vm, message, 5.0, _do_nothing, _do_nothing)
 
     # -- links ----------------------------------------------------------------
 
-    def _accepted(self, sock) -> link.PeerLink:
+    def _create_incoming_link(self, sock) -> link.PeerLink:
         return link.PeerLink(
             self.sockets,
             sock,
             self._key,
-            self._received,
-            _ignore,
-            self._link_closed,
-            dialled=False,
+            self._dispatch_message,
+            _do_nothing,
+            self._on_link_closed,
+            is_outgoing=False,
         )
 
     def _dial(self, peer: _Peer) -> None:
@@ -225,137 +238,155 @@
         peer.dialled_at = self._timers.now()
 
         def on_open(sock) -> link.PeerLink:
-            dialled = link.PeerLink(
+            outgoing = link.PeerLink(
                 self.sockets,
                 sock,
                 self._key,
-                self._received,
-                self._link_open,
-                self._link_closed,
-                dialled=True,
+                self._dispatch_message,
+                self._on_link_open,
+                self._on_link_closed,
+                is_outgoing=True,
                 vm=self._vm,
             )
-            peer.link = dialled
-            self._vm_by_link[dialled] = peer.vm
-            self._timers.call_later(0, dialled.begin)
-            return dialled
+            peer.link = outgoing
+            self._vm_by_link[outgoing] = peer.vm
+            self._timers.call_later(0, outgoing.start_handshake)
+            return outgoing
 
         def on_error(error: errors.TransportError) -> None:
             peer.dialling = False
             peer.redial_at = self._timers.now() + REDIAL_SECONDS
-            # Nobody listens there: it need not be waited for in silence.
+            # No process listens there: the peer is unresponsive at once,
+            # without a wait for its silence.
             peer.last_heard = 0.0
             peer.queue.clear()
-            self._fail_requests(peer.vm, str(error))
+            self._fail_requests_to(peer.vm, str(error))
 
         self.sockets.open(peer.address, CONNECT_SECONDS, on_open, on_error)
 
-    def _link_open(self, opened: link.PeerLink) -> None:
-        peer = self._peer_by_vm.get(self._vm_by_link.get(opened, ""))
-        if peer is None or peer.link is not opened:
-            opened.shut()
+    def _on_link_open(self, peer_link: link.PeerLink) -> None:
+        peer = self._peer_by_vm.get(self._vm_by_link.get(peer_link, ""))
+        if peer is None or peer.link is not peer_link:
+            peer_link.shut()
             return
         peer.dialling = False
         peer.last_heard = self._timers.now()
         queue = peer.queue
         peer.queue = []
         for number, message in queue:
-            if number in self._asked_by_number:
+            if number in self._pending_by_number:
                 self._send(peer, number, message)
 
-    def _link_closed(self, closed: link.PeerLink) -> None:
-        if closed.error:
-            LOG.warning("peer link closed: %s", closed.error)
-        vm = self._vm_by_link.pop(closed, None)
+    def _on_link_closed(self, peer_link: link.PeerLink) -> None:
+        if peer_link.close_reason:
+            LOG.warning("peer link closed: %s", peer_link.close_reason)
+        vm = self._vm_by_link.pop(peer_link, None)
         peer = self._peer_by_vm.get(vm)
-        if peer is None or peer.link is not closed:
+        if peer is None or peer.link is not peer_link:
             return
         peer.link = None
         peer.dialling = False
         peer.queue.clear()
-        self._fail_requests(vm, "link closed")
+        self._fail_requests_to(vm, "link closed")
         self._on_lost(vm)
         self._timers.call_later(0, self._dial, peer)
 
     # -- requests -------------------------------------------------------------
 
     def _send(self, peer: _Peer, number: int, message: Any) -> None:
-        self._asked_by_number[number].sent = True
+        self._pending_by_number[number].sent = True
         try:
             peer.link.send(number, False, message)
         except errors.PeerError as error:
-            self._fail(number, str(error))
+            self._fail_request(number, str(error))
 
-    def _received(
-        self, source: link.PeerLink, number: int, is_reply: bool, message: Any
+    def _dispatch_message(
+        self,
+        peer_link: link.PeerLink,
+        number: int,
+        is_reply: bool,
+        message: Any,
     ) -> None:
         if not is_reply:
-            self._serve(source, number, message)
+            self._handle_request(peer_link, number, message)
             return
-        asked = self._asked_by_number.pop(number, None)
-        if asked is not None:
-            asked.timer.cancel()
-            asked.on_reply(message)
+        pending = self._pending_by_number.pop(number, None)
+        if pending is not None:
+            pending.timer.cancel()
+            pending.on_reply(message)
 
-    def _serve(self, source: link.PeerLink, number: int, message: Any) -> None:
-        def reply(answer: Any) -> None:
+    def _handle_request(
+        self, peer_link: link.PeerLink, number: int, message: Any
+    ) -> None:
+        def reply(reply_message: Any) -> None:
             try:
-                source.send(number, True, answer)
+                peer_link.send(number, True, reply_message)
             except errors.PeerError:
-                LOG.info("a reply could not be sent: the link is gone")
+                LOG.info("reply not sent: the peer link is not open")
 
         if isinstance(message, messages.Heartbeat):
             self._on_heartbeat(message)
             reply(self._heartbeat())
         else:
-            self._on_request(source.peer_vm, message, reply)
+            self._on_request(peer_link.peer_vm, message, reply)
 
-    def _time_out(self, number: int) -> None:
-        self._fail(number, "timeout")
+    def _on_request_timeout(self, number: int) -> None:
+        self._fail_request(number, "timeout")
 
-    def _fail_requests(self, vm: str, text: str) -> None:
+    def _fail_requests_to(self, vm: str, reason: str) -> None:
         numbers = [
             number
-            for number, asked in self._asked_by_number.items()
-            if asked.vm == vm
+            for number, pending in self._pending_by_number.items()
+            if pending.vm == vm
         ]
         for number in numbers:
-            self._fail(number, text)
+            self._fail_request(number, reason)
 
-    def _fail(self, number: int, text: str) -> None:
-        asked = self._asked_by_number.pop(number, None)
-        if asked is None:
+    def _fail_request(self, number: int, reason: str) -> None:
+        pending = self._pending_by_number.pop(number, None)
+        if pending is None:
             return
-        asked.timer.cancel()
-        asked.on_error(
-            errors.TransportError(f"VM {asked.vm}: {text}", sent=asked.sent)
+        pending.timer.cancel()
+        pending.on_error(
+            errors.TransportError(
+                f"VM {pending.vm}: {reason}", sent=pending.sent
+            )
         )
 
     # -- heartbeats -----------------------------------------------------------
 
-    def _tick(self) -> None:
+    def _check_peers(self) -> None:
         now = self._timers.now()
         for peer in list(self._peer_by_vm.values()):
             if peer.link is None:
                 self._dial(peer)
-            elif not peer.link.open:
+            elif not peer.link.is_open:
                 if now - peer.dialled_at > self._silence:
                     peer.link.shut()
             elif now - peer.last_heard > self._silence:
-                LOG.warning("peer %s is silent", peer.vm)
+                LOG.warning(
+                    "closing the link to peer %s: no heartbeat answered",
+                    peer.vm,
+                )
                 peer.link.shut()
             else:
-                self._beat(peer)
+                self._send_heartbeat(peer)
 
-    def _beat(self, peer: _Peer) -> None:
-        def heard(message: Any) -> None:
+    def _send_heartbeat(self, peer: _Peer) -> None:
+        def on_reply(message: Any) -> None:
             if isinstance(message, messages.Heartbeat):
                 peer.last_heard = self._timers.now()
                 peer.heartbeat = message
                 self._on_heartbeat(message)
 
-        self.ask(peer.vm, self._heartbeat(), self._silence * 2, heard, _ignore)
+        self.ask(
+            peer.vm,
+            self._heartbeat(),
+            self._silence * 2,
+            on_reply,
+            _do_nothing,
+        )
 
 
-def _ignore(*arguments) -> None:
+def _do_nothing(*arguments) -> None:
     """Do nothing."""
--- a/postspring/peers/link.py
+++ b/postspring/peers/link.py
@@ -1,4 +1,7 @@
-"""One websocket to or from another VM, sans-I/O on the hub's sockets."""
+"""A websocket to or from another VM.
+
+The protocol is sans-I/O; a ``SocketHub`` does the input and output.
+"""
 
 from collections.abc import Callable
 import hmac
@@ -26,31 +29,33 @@
 
 
 class PeerLink(transport.ConnectionHandler):
-    """A websocket that carries numbered requests and their replies.
+    """Carries numbered requests and their replies on a websocket.
 
     Explanation
     ===========
 
     A frame is a CBOR array ``[version, number, is reply, kind, fields]``.
-    A frame of another version closes the link, with a counter at the hub.
+    A frame of another version, or one that can't be decoded, closes the
+    link; ``close_reason`` then says why.
 
     Parameters
     ==========
 
     hub : SocketHub
-        The sockets.
+        Sends and receives the bytes of the connection.
     sock : socket
-        The connection.
+        Socket of the connection.
     key : str
-        The key that both sides must know; empty for none.
+        Key that all VMs share; empty for none.
     on_message : callable
         Called with ``(link, number, is_reply, message)``.
     on_open, on_closed : callable
-        Called with the link.
-    dialled : bool
-        Whether this side opened the connection.
+        Called with the link after its handshake, and when its connection
+        is closed.
+    is_outgoing : bool
+        Whether this VM opened the connection.
     vm : str
-        This VM's id, told by the side that dialled.
+        This VM's id, sent in the handshake of an outgoing link.
     """
 
     def __init__(
@@ -61,7 +66,7 @@
         on_message: Callable[["PeerLink", int, bool, Any], None],
         on_open: Callable[["PeerLink"], None],
         on_closed: Callable[["PeerLink"], None],
-        dialled: bool,
+        is_outgoing: bool,
         vm: str = "",
     ):
         self._hub = hub
@@ -72,18 +77,18 @@
         self._on_closed = on_closed
         self._vm = vm
         self.peer_vm = ""
-        self.open = False
-        self.error = ""
-        if dialled:
-            target = uri.parse_uri("ws://peer/")
+        self.is_open = False
+        self.close_reason = ""
+        if is_outgoing:
+            ws_uri = uri.parse_uri("ws://peer/")
             self._protocol = client.ClientProtocol(
-                target, max_size=MAX_MESSAGE_BYTES
+                ws_uri, max_size=MAX_MESSAGE_BYTES
             )
         else:
             self._protocol = server.ServerProtocol(max_size=MAX_MESSAGE_BYTES)
 
-    def begin(self) -> None:
-        """Send the handshake, on the side that dialled."""
+    def start_handshake(self) -> None:
+        """Send the handshake request of an outgoing link."""
         request = self._protocol.connect()
         request.headers[KEY_HEADER] = self._key
         request.headers[VM_HEADER] = self._vm
@@ -96,14 +101,14 @@
         Raises
         ------
         PeerError
-            If the link is not open, or the other side does not take what
-            it was sent.
+            If the link is not open, or more than ``MAX_UNSENT_BYTES``
+            still wait to be sent to the peer; the link is then closed.
         """
-        if not self.open:
+        if not self.is_open:
             raise errors.PeerError("link is not open")
         if self._hub.unsent_bytes(self._socket) > MAX_UNSENT_BYTES:
             self.shut()
-            raise errors.PeerError("peer does not read")
+            raise errors.PeerError("too many unsent bytes on the link")
         packed = messages.peer_messages.pack(message)
         frame = cbor2.dumps(
             [messages.PROTOCOL_VERSION, number, is_reply, *packed]
@@ -115,42 +120,42 @@
         """Close the link."""
         self._hub.shut(self._socket)
 
-    # -- from the hub ---------------------------------------------------------
+    # -- called by the hub ----------------------------------------------------
 
     def received(self, data: bytes) -> None:
-        """Parse what came and hand on whole messages."""
+        """Parse received bytes and pass on each complete message."""
         self._protocol.receive_data(data)
         self._flush()
         for event in self._protocol.events_received():
-            self._handle(event)
+            self._handle_event(event)
         if self._protocol.close_expected():
             self.shut()
 
     def closed(self) -> None:
-        """Take note that the connection is gone."""
-        self.open = False
+        """Mark the link closed and report it."""
+        self.is_open = False
         self._on_closed(self)
 
-    # -- own ------------------------------------------------------------------
+    # -- handshake and frames -------------------------------------------------
 
-    def _handle(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         if isinstance(event, http11.Request):
-            self._accept(event)
+            self._answer_handshake(event)
         elif isinstance(event, http11.Response):
-            self.open = self._protocol.state.name == "OPEN"
-            if self.open:
+            self.is_open = self._protocol.state.name == "OPEN"
+            if self.is_open:
                 self._on_open(self)
         elif isinstance(event, frames.Frame):
             if event.opcode is frames.Opcode.BINARY:
-                self._decode(bytes(event.data))
+                self._handle_frame(bytes(event.data))
 
-    def _accept(self, request: http11.Request) -> None:
-        given = request.headers.get(KEY_HEADER, "")
-        if not hmac.compare_digest(given.encode(), self._key.encode()):
+    def _answer_handshake(self, request: http11.Request) -> None:
+        received_key = request.headers.get(KEY_HEADER, "")
+        if not hmac.compare_digest(received_key.encode(), self._key.encode()):
             response = self._protocol.reject(403, "wrong key\n")
             self._protocol.send_response(response)
             self._flush()
-            self.error = "wrong key"
+            self.close_reason = "wrong key"
             self.shut()
             return
         try:
@@ -161,11 +166,11 @@
         self.peer_vm = request.headers.get(VM_HEADER, "")
         self._protocol.send_response(response)
         self._flush()
-        self.open = self._protocol.state.name == "OPEN"
-        if self.open:
+        self.is_open = self._protocol.state.name == "OPEN"
+        if self.is_open:
             self._on_open(self)
 
-    def _decode(self, data: bytes) -> None:
+    def _handle_frame(self, data: bytes) -> None:
         try:
             version, number, is_reply, *packed = cbor2.loads(data)
             if version != messages.PROTOCOL_VERSION:
@@ -178,7 +183,7 @@
             TypeError,
             RecursionError,
         ) as error:
-            self.error = str(error)[:200]
+            self.close_reason = str(error)[:200]
             self.shut()
             return
         self._on_message(self, int(number), bool(is_reply), message)
--- a/postspring/peers/messages.py
+++ b/postspring/peers/messages.py
@@ -1,4 +1,8 @@
-"""Messages between VMs, beside those to the owner of a program."""
+"""Messages between VMs.
+
+The messages to the owner of a program, of :mod:`postspring.coordination`, are
+part of the same registry.
+"""
 
 from postspring import codec
 from postspring import coordination
@@ -24,14 +28,20 @@
 PROTOCOL_VERSION = 1
 
 peer_messages = codec.MessageRegistry("peer message")
-for _kind, _type in coordination.owner_messages.type_by_kind.items():
-    peer_messages.register(_kind)(_type)
+for (
+    _owner_kind,
+    _owner_type,
+) in coordination.owner_messages.type_by_kind.items():
+    peer_messages.register(_owner_kind)(_owner_type)
 
 
 @peer_messages.register("heartbeat")
 @codec.message()
 class Heartbeat:
-    """A sign of life, and what configuration the sender has in force."""
+    """Liveness of the sender, and its configuration in force.
+
+    It is both the request and the reply.
+    """
 
     vm: str
     incarnation: str
@@ -45,13 +55,13 @@
 @peer_messages.register("configuration_request")
 @codec.message()
 class ConfigurationRequest:
-    """Ask for the configuration record in force."""
+    """Request the configuration record that the peer has in force."""
 
 
 @peer_messages.register("configuration_offer")
 @codec.message()
 class ConfigurationOffer:
-    """The configuration record in force and its offset in the log."""
+    """Reply: the configuration record in force and its offset in the log."""
 
     offset: int
     record: bytes
@@ -60,7 +70,7 @@
 @peer_messages.register("hold_turns")
 @codec.message()
 class HoldTurns:
-    """Copies of turns that are not in the log yet, to append when it is up."""
+    """Replicate turns not in the log yet; the peer is to append them."""
 
     turns: tuple[ownership.Turn, ...]
 
@@ -68,7 +78,7 @@
 @peer_messages.register("turns_held")
 @codec.message()
 class TurnsHeld:
-    """How many of the copies were taken."""
+    """Reply: the number of turns that the peer accepted."""
 
     taken: int
 
@@ -76,7 +86,7 @@
 @peer_messages.register("stop_attempt")
 @codec.message()
 class StopAttempt:
-    """Break an attempt off: its program has ended."""
+    """Cancel an attempt on the peer, as its program has ended."""
 
     program: str
     attempt: int
@@ -85,7 +95,7 @@
 @peer_messages.register("gather_rows")
 @codec.message()
 class GatherRows:
-    """Ask for a VM's own rows of a collection of the query language."""
+    """Request the peer's own rows of a collection of the query language."""
 
     collection: str
 
@@ -93,7 +103,7 @@
 @peer_messages.register("rows_gathered")
 @codec.message()
 class RowsGathered:
-    """The rows, as a JSON array of objects."""
+    """Reply: the rows, as a JSON array of objects."""
 
     rows: bytes
 
@@ -101,7 +111,7 @@
 @peer_messages.register("append_records")
 @codec.message()
 class AppendRecords:
-    """Ask a VM that reaches the log to append a batch."""
+    """Request that a peer which reaches the log append a batch."""
 
     stream: str
     records: tuple[bytes, ...]
@@ -110,7 +120,7 @@
 @peer_messages.register("records_appended")
 @codec.message()
 class RecordsAppended:
-    """The batch's first offset."""
+    """Reply: the offset of the batch's first record."""
 
     offset: int
 
@@ -118,7 +128,7 @@
 @peer_messages.register("read_records")
 @codec.message()
 class ReadRecords:
-    """Ask a VM that reaches the log to read a page."""
+    """Request that a peer which reaches the log read a page."""
 
     stream: str
     offset: int
@@ -129,7 +139,7 @@
 @peer_messages.register("records_read")
 @codec.message()
 class RecordsRead:
-    """A page of a stream."""
+    """Reply: a page of a stream."""
 
     first: int
     next: int
@@ -139,6 +149,6 @@
 @peer_messages.register("log_failed")
 @codec.message()
 class LogFailed:
-    """The log did not answer the VM that was asked."""
+    """Reply: the peer's append to or read from the log failed."""
 
     detail: str
--- a/postspring/peers/tests/test_hub.py
+++ b/postspring/peers/tests/test_hub.py
@@ -1,4 +1,4 @@
-"""Links between VMs."""
+"""Tests of requests, lost VMs and rejected links of PeerHub."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class _Vm:
-    """A hub with a loop of its own, turned by hand."""
+    """A hub with an event loop of its own that the test runs."""
 
     def __init__(self, name, key="k"):
         self.name = name
@@ -26,13 +26,13 @@
         self.timers = transport.Timers().register(self.root)
         self.requests = []
         self.lost = []
-        self.answers = True
+        self.replies_to_requests = True
         self.hub = peers.PeerHub(
             self.timers,
             name,
             self.address,
             key,
-            self.serve,
+            self.handle_request,
             self.heartbeat,
             lambda heartbeat: None,
             self.lost.append,
@@ -45,10 +45,10 @@
         self.root.tick(timeout=0.0)
         self.hub.start()
 
-    def serve(self, vm, message, reply):
-        """Answer a request with who sent it."""
+    def handle_request(self, vm, message, reply):
+        """Reply with the id of the VM that sent the request."""
         self.requests.append((vm, message))
-        if self.answers:
+        if self.replies_to_requests:
             reply(coordination.ProgramCreated(program=vm))
 
     def heartbeat(self):
@@ -62,51 +62,51 @@
         )
 
 
-class HubCase(unittest.TestCase):
-    """Two VMs."""
+class HubTestCase(unittest.TestCase):
+    """Sets up two VMs; the first has the second as a peer."""
 
     def setUp(self):
         self.first = _Vm("vm-1")
         self.second = _Vm("vm-2")
-        self.running = [self.first, self.second]
+        self.running_vms = [self.first, self.second]
         self.first.hub.replace_peers({"vm-2": self.second.address})
         self.replies = []
         self.errors = []
         self.addCleanup(self.close)
 
     def close(self):
-        """Close both."""
+        """Close both hubs."""
         for vm in (self.first, self.second):
             vm.hub.close()
             vm.hub.sockets.refuse_new()
 
-    def turn_until(self, check):
-        """Turn the loops until something holds."""
+    def turn_until(self, condition):
+        """Run the loops of the running VMs until a condition holds."""
         for _ in range(2000):
-            if check():
+            if condition():
                 return
-            for vm in self.running:
+            for vm in self.running_vms:
                 vm.root.tick(timeout=0.002)
         self.fail("the loops were turned in vain")
 
-    def ask(self, message=None, timeout=2.0):
-        """Have the first VM ask the second."""
+    def send_request(self, message=None, timeout=2.0):
+        """Send a request from the first VM to the second."""
         message = message or coordination.CreateProgram(slot=1, service="a")
         self.first.hub.ask(
             "vm-2", message, timeout, self.replies.append, self.errors.append
         )
 
 
-class RequestTest(HubCase):
-    """Requests and replies."""
+class RequestTest(HubTestCase):
+    """Replies to requests, and errors in their place."""
 
-    def test_a_reply_comes_back(self):
-        self.ask()
+    def test_reply_reaches_the_requester(self):
+        self.send_request()
         self.turn_until(lambda: self.replies)
         self.assertEqual("vm-1", self.replies[0].program)
 
-    def test_large_requests_arrive_whole(self):
-        call = coordination.CallProgram(
+    def test_large_request_arrives_unchanged(self):
+        request = coordination.CallProgram(
             program="p",
             service="a",
             kind=programs.CallKind.MODEL,
@@ -114,17 +114,17 @@
             request=b"x" * 3_000_000,
             step=1,
         )
-        self.ask(call)
+        self.send_request(request)
         self.turn_until(lambda: self.replies)
-        self.assertEqual(call, self.second.requests[0][1])
+        self.assertEqual(request, self.second.requests[0][1])
 
-    def test_no_reply_in_time_is_an_error_that_may_have_run(self):
-        self.second.answers = False
-        self.ask(timeout=0.1)
+    def test_timeout_error_says_sent(self):
+        self.second.replies_to_requests = False
+        self.send_request(timeout=0.1)
         self.turn_until(lambda: self.errors)
         self.assertTrue(self.errors[0].sent)
 
-    def test_an_unknown_vm_is_an_error_that_did_not_run(self):
+    def test_unknown_vm_error_says_not_sent(self):
         self.first.hub.ask(
             "vm-9",
             self.first.heartbeat(),
@@ -135,42 +135,42 @@
         self.turn_until(lambda: self.errors)
         self.assertFalse(self.errors[0].sent)
 
-    def test_a_vm_that_is_down_is_an_error_that_did_not_run(self):
+    def test_refused_connection_error_says_not_sent(self):
         self.second.hub.sockets.refuse_new()
-        self.ask()
+        self.send_request()
         self.turn_until(lambda: self.errors)
         self.assertFalse(self.errors[0].sent)
 
 
-class SilenceTest(HubCase):
-    """A VM that stops answering."""
+class SilenceTest(HubTestCase):
+    """A peer whose process is frozen: its loop does not run."""
 
-    def test_a_frozen_vm_is_lost_and_found_again(self):
-        self.turn_until(lambda: self.first.hub.connected("vm-2"))
+    def test_frozen_vm_is_lost_and_responsive_after_thaw(self):
+        self.turn_until(lambda: self.first.hub.is_connected("vm-2"))
         self.turn_until(lambda: self.first.hub.responsive("vm-2"))
-        self.running = [self.first]
+        self.running_vms = [self.first]
         self.turn_until(lambda: self.first.lost)
         self.assertFalse(self.first.hub.responsive("vm-2"))
-        self.running = [self.first, self.second]
+        self.running_vms = [self.first, self.second]
         self.turn_until(lambda: self.first.hub.responsive("vm-2"))
 
-    def test_requests_to_a_frozen_vm_fail_when_it_is_lost(self):
-        self.turn_until(lambda: self.first.hub.connected("vm-2"))
-        self.running = [self.first]
-        self.ask(timeout=60)
+    def test_pending_request_fails_when_vm_is_lost(self):
+        self.turn_until(lambda: self.first.hub.is_connected("vm-2"))
+        self.running_vms = [self.first]
+        self.send_request(timeout=60)
         self.turn_until(lambda: self.errors)
         self.assertTrue(self.errors[0].sent)
 
 
-class StrangerTest(HubCase):
-    """What is not a VM of this system."""
+class RejectedLinkTest(HubTestCase):
+    """Connections with a wrong key and frames that can't be decoded."""
 
-    def test_a_wrong_key_opens_no_link(self):
-        stranger = _Vm("vm-3", key="other")
-        self.running.append(stranger)
-        stranger.hub.replace_peers({"vm-2": self.second.address})
+    def test_wrong_key_is_rejected(self):
+        intruder = _Vm("vm-3", key="other")
+        self.running_vms.append(intruder)
+        intruder.hub.replace_peers({"vm-2": self.second.address})
         failures = []
-        stranger.hub.ask(
+        intruder.hub.ask(
             "vm-2",
             coordination.CreateProgram(slot=1, service="a"),
             1.0,
@@ -180,36 +180,36 @@
         with self.assertLogs("postspring.peers.hub", "WARNING"):
             self.turn_until(lambda: failures)
         self.assertEqual([], self.second.requests)
-        stranger.hub.close()
-        stranger.hub.sockets.refuse_new()
+        intruder.hub.close()
+        intruder.hub.sockets.refuse_new()
 
     def send_frame(self, data):
-        """Send one frame on a link that has the right key."""
+        """Send a frame on a link with the right key; return the log line."""
         closed = []
 
-        class Raw(transport.ConnectionHandler):
-            def received(inner, received):
-                inner.protocol.receive_data(received)
-                inner.protocol.events_received()
-                inner.protocol.send_binary(data)
-                inner.flush()
+        class RawLink(transport.ConnectionHandler):
+            def received(link, received):
+                link.protocol.receive_data(received)
+                link.protocol.events_received()
+                link.protocol.send_binary(data)
+                link.flush()
 
-            def flush(inner):
-                for part in inner.protocol.data_to_send():
-                    self.first.hub.sockets.send(inner.sock, part)
+            def flush(link):
+                for chunk in link.protocol.data_to_send():
+                    self.first.hub.sockets.send(link.sock, chunk)
 
-            def closed(inner):
+            def closed(link):
                 closed.append(True)
 
         def on_open(sock):
-            raw = Raw()
-            raw.sock = sock
-            raw.protocol = client.ClientProtocol(uri.parse_uri("ws://x/"))
-            request = raw.protocol.connect()
+            raw_link = RawLink()
+            raw_link.sock = sock
+            raw_link.protocol = client.ClientProtocol(uri.parse_uri("ws://x/"))
+            request = raw_link.protocol.connect()
             request.headers["X-Postspring-Key"] = "k"
-            raw.protocol.send_request(request)
-            self.first.timers.call_later(0, raw.flush)
-            return raw
+            raw_link.protocol.send_request(request)
+            self.first.timers.call_later(0, raw_link.flush)
+            return raw_link
 
         self.first.hub.sockets.open(
             self.second.address, 1.0, on_open, self.errors.append
@@ -218,9 +218,9 @@
             self.turn_until(lambda: closed)
         return logs.output[0]
 
-    def test_another_protocol_version_closes_the_link(self):
+    def test_unknown_protocol_version_closes_the_link(self):
         frame = cbor2.dumps([99, 1, False, "heartbeat", {}])
         self.assertIn("protocol version 99", self.send_frame(frame))
 
-    def test_garbage_closes_the_link(self):
+    def test_undecodable_frame_closes_the_link(self):
         self.assertIn("closed", self.send_frame(b"\xff\x00garbage"))
