--- a/postspring/client/__init__.py
+++ b/postspring/client/__init__.py
@@ -1,8 +1,8 @@
-"""Client: what a caller's program uses, blocking and without a loop."""
+"""Blocking clients for callers and operators; they need no event loop."""
 
 from postspring.client.commander import Commander
-from postspring.client.connection import Answer
 from postspring.client.connection import EntryClient
+from postspring.client.connection import EntryResponse
 from postspring.client.connection import RefusedError
 from postspring.client.connection import UnreachableError
 from postspring.client.program import CallResult
@@ -10,11 +10,11 @@
 from postspring.client.publisher import ConfigurationPublisher
 
 __all__ = [
-    "Answer",
     "CallResult",
     "Commander",
     "ConfigurationPublisher",
     "EntryClient",
+    "EntryResponse",
     "ProgramClient",
     "RefusedError",
     "UnreachableError",
--- a/postspring/client/commander.py
+++ b/postspring/client/commander.py
@@ -1,4 +1,4 @@
-"""Running texts of the query and command language from outside."""
+"""Client for the query and command language of the entry VMs."""
 
 from collections.abc import Sequence
 import http.client
@@ -13,15 +13,15 @@
 
 
 class Commander:
-    """Sends texts to an entry VM.
+    """Runs queries and commands on the first entry VM that responds.
 
     Parameters
     ==========
 
     addresses : sequence of str
-        ``ip:port`` of entry VMs; the next one is asked when one fails.
+        ``ip:port`` of entry VMs, tried in this order.
     key : str
-        The operators' key.
+        Operators' key, sent as a bearer token; empty for none.
     """
 
     def __init__(self, addresses: Sequence[str], key: str = ""):
@@ -31,33 +31,35 @@
     def run(
         self, text: str, format: str = "table", change_id: str = ""
     ) -> str:
-        """Return the answer's text.
+        """Run a query or command and return the resulting text.
 
         Raises
         ------
         CommandError
-            If the text is wrong, or the change lost against another.
+            If the text is wrong, the change conflicts with another one, or
+            the request is refused.
         PlatformError
-            If no VM answered; a change with the same ``change_id`` may be
-            asked for again.
+            If no VM responded.  A change may have been made all the same;
+            retrying it with the same ``change_id`` is safe.
         """
         change_id = change_id or secrets.token_hex(8)
         body = {"text": text, "format": format, "change_id": change_id}
-        failure = ""
+        last_error = ""
         for address in self._addresses:
             try:
-                status, answer = self._post(address, body)
+                status, response_body = self._post(address, body)
             except (OSError, http.client.HTTPException) as error:
-                failure = f"{address}: {error!r}"
+                last_error = f"{address}: {error!r}"
                 continue
             if status != 200:
                 raise errors.CommandError(
-                    answer.get("error") or answer.get("refused", "refused")
+                    response_body.get("error")
+                    or response_body.get("refused", "refused")
                 )
-            if "text" in answer:
-                return answer["text"]
-            return json.dumps(answer)
-        raise errors.PlatformError(f"no VM answered: {failure}")
+            if "text" in response_body:
+                return response_body["text"]
+            return json.dumps(response_body)
+        raise errors.PlatformError(f"no VM answered: {last_error}")
 
     def _post(self, address: str, body: dict) -> tuple[int, dict]:
         host, _, port = address.rpartition(":")
--- a/postspring/client/connection.py
+++ b/postspring/client/connection.py
@@ -1,4 +1,4 @@
-"""Requests to whichever entry VM answers."""
+"""HTTP client that fails over between entry VMs."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -10,11 +10,16 @@
 
 from postspring import errors
 
-__all__ = ["Answer", "EntryClient", "RefusedError", "UnreachableError"]
+__all__ = [
+    "EntryClient",
+    "EntryResponse",
+    "RefusedError",
+    "UnreachableError",
+]
 
 DEFAULT_TIMEOUT_SECONDS = 60.0
-LONGEST_PAUSE_SECONDS = 5.0
-RETRIED_REASONS = frozenset(
+MAX_RETRY_DELAY_SECONDS = 5.0
+RETRYABLE_REASONS = frozenset(
     {
         "held_turns_full",
         "log_unavailable",
@@ -27,26 +32,26 @@
         "upstream_failed",
     }
 )
-# Another VM may do better: this one is cut off, starting or leaving.
-OTHER_VM_REASONS = frozenset(
+# This VM is cut off, starting or shutting down: retry at the next one.
+NEXT_VM_REASONS = frozenset(
     {"no_configuration", "owner_unreachable", "shutting_down"}
 )
 
 
 class RefusedError(errors.PostspringError):
-    """A request was refused.
+    """An entry VM refused a request.
 
     Parameters
     ==========
 
     reason : str
-        The reason's name.
+        Name of the reason.
     ran : str
-        ``not_run`` or ``unknown``.
+        Whether the request may have run: ``not_run`` or ``unknown``.
     retry_after : float or None
-        Seconds after which to come back.
+        Seconds after which a retry makes sense, if the VM says so.
     detail : str
-        Text for a person.
+        Explanation for a human reader.
     """
 
     def __init__(
@@ -60,27 +65,27 @@
 
 
 class UnreachableError(errors.PostspringError):
-    """No entry VM gave an answer."""
+    """No entry VM gave a usable response."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
-    """An answer: the HTTP status and the JSON body."""
+class EntryResponse:
+    """HTTP status and JSON body of a response."""
 
     status: int
     body: Any
 
 
 class EntryClient:
-    """Talks to the entry VMs, going to the next one when one fails.
+    """Sends requests to one entry VM, and to the next when it fails.
 
     Parameters
     ==========
 
     addresses : sequence of str
-        ``ip:port`` of entry VMs, or of the balancer before them.
+        ``ip:port`` of entry VMs, or of a load balancer in front of them.
     timeout : float
-        Seconds that one request may take.
+        Socket timeout of each attempt in seconds.
     """
 
     def __init__(
@@ -91,7 +96,7 @@
         if not addresses:
             raise ValueError("at least one address is needed")
         self._addresses = list(addresses)
-        self._next = 0
+        self._address_index = 0
         self._timeout = timeout
 
     def request(
@@ -100,27 +105,28 @@
         path: str,
         body: Any = None,
         retry_timeout: float = 20.0,
-    ) -> Answer:
-        """Return a whole answer.
+    ) -> EntryResponse:
+        """Send a request, retry it if needed, and return the response.
 
-        Asking again is safe for all of postspring's own requests: programs
-        are created by key and calls are identified by their step.
+        A retry is safe for all of postspring's own requests: programs are
+        created by key and calls are identified by their step.
 
         Parameters
         ----------
         retry_timeout : float
-            Seconds for which refusals that say when to come back, and VMs
-            that don't answer, are retried.
+            Seconds for which the request is retried after connection
+            errors and after refusals with one of ``RETRYABLE_REASONS``.
 
         Raises
         ------
         RefusedError
-            If the request was refused for good.
+            If the request was refused and may not, or not any longer, be
+            retried.
         UnreachableError
-            If no VM answered.
+            If no VM responded until ``retry_timeout`` ended.
         """
         return self._retry(
-            lambda address: self._once(address, method, path, body),
+            lambda address: self._request_once(address, method, path, body),
             retry_timeout,
         )
 
@@ -131,10 +137,11 @@
         on_text: Callable[[str], None] | None = None,
         retry_timeout: float = 20.0,
     ) -> dict[str, Any]:
-        """Return the turn that ends a streamed answer.
+        """Stream a call's answer and return the turn at its end.
 
-        ``on_text`` gets the text as it comes; it is called with None when
-        the stream starts anew and what came before is void.
+        ``on_text`` is called with each piece of text as it arrives, and
+        with None when the entry VM restarts the answer: the text before is
+        then void.
         """
         return self._retry(
             lambda address: self._stream_once(address, path, body, on_text),
@@ -146,23 +153,25 @@
     ) -> Any:
         deadline = time.monotonic() + retry_timeout
         while True:
-            address = self._addresses[self._next % len(self._addresses)]
+            address = self._addresses[
+                self._address_index % len(self._addresses)
+            ]
             try:
                 return attempt(address)
             except RefusedError as error:
-                if error.reason not in RETRIED_REASONS:
+                if error.reason not in RETRYABLE_REASONS:
                     raise
-                if error.reason in OTHER_VM_REASONS:
-                    self._next += 1
-                pause = error.retry_after or 0.2
-                failure: errors.PostspringError = error
+                if error.reason in NEXT_VM_REASONS:
+                    self._address_index += 1
+                delay = error.retry_after or 0.2
+                last_error: errors.PostspringError = error
             except (OSError, http.client.HTTPException) as error:
-                self._next += 1
-                pause = 0.1
-                failure = UnreachableError(f"{address}: {error!r}")
-            if time.monotonic() + pause > deadline:
-                raise failure
-            time.sleep(min(pause, LONGEST_PAUSE_SECONDS))
+                self._address_index += 1
+                delay = 0.1
+                last_error = UnreachableError(f"{address}: {error!r}")
+            if time.monotonic() + delay > deadline:
+                raise last_error
+            time.sleep(min(delay, MAX_RETRY_DELAY_SECONDS))
 
     def _send(
         self, address: str, method: str, path: str, body: Any
@@ -177,7 +186,9 @@
         )
         return connection, connection.getresponse()
 
-    def _once(self, address: str, method: str, path: str, body: Any) -> Answer:
+    def _request_once(
+        self, address: str, method: str, path: str, body: Any
+    ) -> EntryResponse:
         connection, response = self._send(address, method, path, body)
         try:
             text = response.read()
@@ -185,7 +196,7 @@
             connection.close()
         parsed = json.loads(text) if text else None
         _raise_if_refused(parsed)
-        return Answer(response.status, parsed)
+        return EntryResponse(response.status, parsed)
 
     def _stream_once(
         self,
@@ -218,31 +229,31 @@
     response: http.client.HTTPResponse,
     on_text: Callable[[str], None] | None,
 ) -> dict[str, Any]:
-    """Return the data of the event named ``turn``, with the text."""
-    name = ""
+    """Return the data of the ``turn`` event, with the collected text."""
+    event_name = ""
     texts: list[str] = []
     for line in response:
         text = line.decode().rstrip("\n")
         if text.startswith("event: "):
-            name = text.removeprefix("event: ")
+            event_name = text.removeprefix("event: ")
         elif text.startswith("data: ") and text != "data: [DONE]":
             data = json.loads(text.removeprefix("data: "))
-            if name == "turn":
+            if event_name == "turn":
                 return {"text": "".join(texts)} | data
-            if name == "refused":
+            if event_name == "refused":
                 _raise_if_refused(data)
-            elif name == "restart":
+            elif event_name == "restart":
                 texts.clear()
                 if on_text is not None:
                     on_text(None)
             else:
-                _collect(data, texts, on_text)
+                _collect_text(data, texts, on_text)
         elif not text:
-            name = ""
-    raise ConnectionError("the stream ended before its turn")
+            event_name = ""
+    raise ConnectionError("the stream ended without a turn event")
 
 
-def _collect(data: dict, texts: list[str], on_text: Any) -> None:
+def _collect_text(data: dict, texts: list[str], on_text: Any) -> None:
     for choice in data.get("choices", ()):
         content = choice.get("delta", {}).get("content")
         if content:
--- a/postspring/client/program.py
+++ b/postspring/client/program.py
@@ -1,4 +1,4 @@
-"""One program, seen from its caller."""
+"""Client for the calls of one program."""
 
 from collections.abc import Callable
 import dataclasses
@@ -12,17 +12,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallResult:
-    """The outcome of a call.
+    """Outcome of a call.
 
     Parameters
     ==========
 
     answer : any JSON
-        A model's message, or a tool's or service's body.
+        Message of a model, or body of a tool's or service's response.
     status : str
-        ``answered``, or ``unknown`` if nobody knows the outcome.
+        ``answered``, or ``unknown`` if the outcome can't be known.
     cost : int
-        Micro-units.
+        Cost in micro-units.
     """
 
     step: int
@@ -36,22 +36,23 @@
 
 
 class ProgramClient:
-    """Issues the calls of one program, in order.
+    """Makes the calls of one program, in order.
 
     Explanation
     ===========
 
-    It counts the steps, passes each answer's digest on with the next call,
-    and keeps held turns as receipts until a later answer is in the log.
-    Every call has an idempotency key, so asking again is safe.
+    The client numbers the steps and sends the last turn's digest with the
+    next call.  It sends the receipts of held turns with each call, until
+    the turn of a later call is not held.  Every call has an idempotency
+    key, so it can be retried safely.
 
     Parameters
     ==========
 
     client : EntryClient
-        The entry VMs.
+        Sends the requests.
     program : str
-        The program's id.
+        Id of the program.
 
     Examples
     ========
@@ -83,13 +84,13 @@
     ) -> "ProgramClient":
         """Create a program; see ``POST /v1/programs``."""
         body = {"service": service, "key": secrets.token_hex(8)}
-        for name, value in (
+        for field, value in (
             ("budget", budget),
             ("priority", priority),
             ("parent", parent),
         ):
             if value is not None:
-                body[name] = value
+                body[field] = value
         answer = client.request("POST", "/v1/programs", body)
         return cls(client, answer.body["program"])
 
@@ -97,7 +98,7 @@
     def resume(
         cls, client: connection.EntryClient, program: str
     ) -> "ProgramClient":
-        """Go on with a program that another client began."""
+        """Continue a program at its current step, from any client."""
         resumed = cls(client, program)
         view = resumed.view()
         resumed.step = view["step"]
@@ -105,7 +106,7 @@
         return resumed
 
     def spawn(self, service: str, **options: Any) -> "ProgramClient":
-        """Create a sub-agent."""
+        """Create a sub-agent: a program whose parent is this one."""
         return self.create(
             self._client, service, parent=self.program, **options
         )
@@ -118,7 +119,7 @@
         max_tokens: int | None = None,
         retry_timeout: float = 20.0,
     ) -> CallResult:
-        """Call a model with a user's message; the answer is streamed."""
+        """Call a model with a user message and stream its answer."""
         body: dict[str, Any] = {
             "kind": "model",
             "target": model,
@@ -129,9 +130,9 @@
             body["max_tokens"] = max_tokens
         path = self._path("/calls")
         turn = self._client.stream(
-            path, self._numbered(body), on_text, retry_timeout
+            path, self._add_step_fields(body), on_text, retry_timeout
         )
-        return self._took(turn)
+        return self._record_turn(turn)
 
     def use_tool(
         self,
@@ -140,9 +141,9 @@
         retry_timeout: float = 20.0,
         key: str | None = None,
     ) -> CallResult:
-        """Call a tool; it runs at most once, however often we ask.
+        """Call a tool that must not run twice, also if the call is retried.
 
-        ``key`` is the idempotency key, a random one if none is given.
+        ``key`` is the idempotency key; the default is a random one.
         """
         body = {
             "kind": "tool",
@@ -150,20 +151,20 @@
             "arguments": arguments,
             "repeatable": False,
         }
-        body = self._numbered(body)
+        body = self._add_step_fields(body)
         if key is not None:
             body["key"] = key
         answer = self._client.request(
             "POST", self._path("/calls"), body, retry_timeout
         )
-        return self._took(answer.body)
+        return self._record_turn(answer.body)
 
     def view(self) -> dict[str, Any]:
         """Return the program's state."""
         return self._client.request("GET", self._path("")).body
 
     def history(self) -> list[dict[str, Any]]:
-        """Return all turns, page by page."""
+        """Return all turns; they are fetched in pages."""
         turns: list[dict[str, Any]] = []
         while True:
             path = f"/history?from={len(turns) + 1}&limit=100"
@@ -173,19 +174,19 @@
                 return turns
 
     def end(self) -> int:
-        """End the program and return what it spent, in micro-units."""
+        """End the program and return its cost in micro-units."""
         answer = self._client.request("POST", self._path("/end"), {})
         return answer.body["spent"]
 
     def cancel(self) -> int:
-        """Cancel the program and return what it spent."""
+        """Cancel the program and return its cost in micro-units."""
         answer = self._client.request("POST", self._path("/cancel"), {})
         return answer.body["spent"]
 
-    def _path(self, rest: str) -> str:
-        return f"/v1/programs/{self.program}{rest}"
+    def _path(self, subpath: str) -> str:
+        return f"/v1/programs/{self.program}{subpath}"
 
-    def _numbered(self, body: dict[str, Any]) -> dict[str, Any]:
+    def _add_step_fields(self, body: dict[str, Any]) -> dict[str, Any]:
         return body | {
             "step": self.step + 1,
             "parent": self.digest,
@@ -193,7 +194,7 @@
             "receipts": self._receipts,
         }
 
-    def _took(self, turn: dict[str, Any]) -> CallResult:
+    def _record_turn(self, turn: dict[str, Any]) -> CallResult:
         self.step = turn["step"]
         self.digest = turn["digest"]
         if turn["held"]:
--- a/postspring/client/publisher.py
+++ b/postspring/client/publisher.py
@@ -1,4 +1,4 @@
-"""Publishing configuration: compare with the expected version and publish."""
+"""Publishes configuration if the expected version is in force."""
 
 import http.client
 import json
@@ -16,15 +16,15 @@
 
 
 class ConfigurationPublisher:
-    """Reads and publishes configuration on the platform's log.
+    """Reads configuration from the platform's log and appends to it.
 
     Parameters
     ==========
 
     address : tuple of (str, int)
-        The platform's IP number and port.
+        IP address and port of the platform.
     timeout : float
-        Seconds for one request.
+        Socket timeout of each request in seconds.
     """
 
     def __init__(self, address: tuple[str, int], timeout: float = 5.0):
@@ -32,7 +32,7 @@
         self._timeout = timeout
 
     def read(self) -> configuration.ConfigurationFold:
-        """Return the fold of the whole stream.
+        """Return the fold of the complete stream.
 
         Raises
         ------
@@ -59,26 +59,26 @@
         author: str = "",
         change_id: str | None = None,
     ) -> int:
-        """Publish a document and return its version once it counts.
+        """Publish a document and return its version once it is accepted.
 
         Parameters
         ----------
         expected_version : int or None
-            The version that the change was made against; None for the
-            one in force now.
+            Version that the change was made against; None for the one in
+            force now.
         change_id : str or None
-            Name of the change.  Publishing it again, after a lost answer,
-            does not repeat it.
+            Idempotency key of the change, for retries after a lost
+            response; None for a random one.
 
         Raises
         ------
         ConfigurationError
-            If the document is wrong.
+            If the document is invalid.
         PublishConflictError
-            If another change came first.
+            If another change was accepted first.
         PlatformError
-            If the log does not answer: the change may or may not have been
-            published; publish it again with the same ``change_id``.
+            If the log does not respond.  The change may or may not have
+            been published; retry it with the same ``change_id``.
         """
         configuration.parse_configuration(document)
         change_id = change_id or secrets.token_hex(8)
@@ -96,16 +96,16 @@
         )
         data = configuration.configuration_records.encode(record)
         self._request("POST", STREAM_PATH, cbor2.dumps([data]))
-        return self._outcome(change_id, record.version)
+        return self._check_published(change_id, record.version)
 
-    def _outcome(self, change_id: str, version: int) -> int:
+    def _check_published(self, change_id: str, version: int) -> int:
         fold = self.read()
         if fold.counted_change(change_id):
             return version
         raise configuration.PublishConflictError(
             f"not published: version {fold.state.version} by "
             f"{fold.state.author or 'somebody'} is in force; "
-            "look at it and publish against it"
+            "review it and publish against that version"
         )
 
     def _apply(
@@ -125,18 +125,18 @@
         try:
             connection.request(method, path, body)
             response = connection.getresponse()
-            answer = response.read()
+            response_body = response.read()
         except (OSError, http.client.HTTPException) as error:
             raise errors.PlatformError(f"log: {error}") from error
         finally:
             connection.close()
         if response.status != 200:
             raise errors.PlatformError(f"log answered {response.status}")
-        return answer
+        return response_body
 
 
 def format_state(state: configuration.ConfigurationState) -> str:
-    """Return the document in force, indented, with its version."""
+    """Return the document in force and its version as indented JSON."""
     document = json.loads(state.document)
     return json.dumps(
         {"version": state.version, "document": document}, indent=2
--- a/postspring/client/tests/test_connection.py
+++ b/postspring/client/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""Going to another VM when one can't help."""
+"""Tests of EntryClient's retries and failover between entry VMs."""
 
 import http.server
 import json
@@ -8,12 +8,12 @@
 from postspring import client
 
 
-class _Answers(http.server.BaseHTTPRequestHandler):
-    """Gives the server's one answer."""
+class _FixedResponseHandler(http.server.BaseHTTPRequestHandler):
+    """Returns the body set at the server and counts requests."""
 
     def do_GET(self):
-        """Answer."""
-        self.server.asked += 1
+        """Send the server's body as JSON."""
+        self.server.request_count += 1
         body = json.dumps(self.server.body).encode()
         self.send_response(200)
         self.send_header("Content-Length", str(len(body)))
@@ -21,27 +21,29 @@
         self.wfile.write(body)
 
     def log_message(self, *arguments):
-        """Say nothing."""
+        """Suppress the access log."""
 
 
 class EntryClientTest(unittest.TestCase):
-    """Refusals that another VM may not give."""
+    """Retries at the same VM, failover, and refusals raised at once."""
 
-    def serve(self, body):
-        """Return a server that gives one answer."""
-        server = http.server.HTTPServer(("127.0.0.1", 0), _Answers)
+    def start_server(self, body):
+        """Start a server that returns ``body`` to each request."""
+        server = http.server.HTTPServer(
+            ("127.0.0.1", 0), _FixedResponseHandler
+        )
         server.body = body
-        server.asked = 0
+        server.request_count = 0
         thread = threading.Thread(target=server.serve_forever, daemon=True)
         thread.start()
         self.addCleanup(server.server_close)
         self.addCleanup(server.shutdown)
         return server
 
-    def ask(self, refusal, retry_timeout):
-        """Ask a VM that refuses and one that answers."""
-        first = self.serve(refusal)
-        second = self.serve({"status": "ok"})
+    def request_with_failover(self, refusal, retry_timeout):
+        """Send a request to a VM that refuses, with one that succeeds next."""
+        first = self.start_server(refusal)
+        second = self.start_server({"status": "ok"})
         addresses = [
             f"127.0.0.1:{server.server_address[1]}"
             for server in (first, second)
@@ -52,8 +54,8 @@
         finally:
             self.first, self.second = first, second
 
-    def refusal(self, reason):
-        """Build a refusal."""
+    def build_refusal(self, reason):
+        """Return the body of a refusal."""
         return {
             "refused": reason,
             "ran": "not_run",
@@ -61,19 +63,25 @@
             "retry_after_seconds": 0.01,
         }
 
-    def test_a_vm_that_cannot_reach_the_owner_is_left(self):
-        answer = self.ask(self.refusal("owner_unreachable"), 5)
+    def test_unreachable_owner_fails_over_to_next_vm(self):
+        answer = self.request_with_failover(
+            self.build_refusal("owner_unreachable"), 5
+        )
         self.assertEqual({"status": "ok"}, answer)
-        self.assertEqual(1, self.first.asked)
+        self.assertEqual(1, self.first.request_count)
 
-    def test_a_final_refusal_is_raised_at_once(self):
+    def test_refusal_not_retryable_is_raised_at_once(self):
         with self.assertRaises(client.RefusedError) as caught:
-            self.ask(self.refusal("over_budget"), 5)
+            self.request_with_failover(self.build_refusal("over_budget"), 5)
         self.assertEqual("over_budget", caught.exception.reason)
-        self.assertEqual((1, 0), (self.first.asked, self.second.asked))
+        self.assertEqual(
+            (1, 0), (self.first.request_count, self.second.request_count)
+        )
 
-    def test_a_refusal_to_come_back_after_is_retried_until_patience_ends(self):
+    def test_retryable_refusal_is_retried_until_timeout(self):
         with self.assertRaises(client.RefusedError):
-            self.ask(self.refusal("log_unavailable"), 0.1)
-        self.assertGreater(self.first.asked, 1)
-        self.assertEqual(0, self.second.asked)
+            self.request_with_failover(
+                self.build_refusal("log_unavailable"), 0.1
+            )
+        self.assertGreater(self.first.request_count, 1)
+        self.assertEqual(0, self.second.request_count)
