--- a/postspring/peers/hub.py
+++ b/postspring/peers/hub.py
@@ -63,7 +63,7 @@
     ===========
 
     Requests are sent on links that this VM opened; the peer replies on the
-    same link.  If a peer does not answer heartbeats for ``silence``
+    same link.  If a peer does not answer heartbeats for ``silence_timeout``
     seconds, the hub closes its link.  Whenever the link to a listed peer
     closes, the hub calls ``on_lost``.  The peer may still run: a loss only
     decides when to *try* a takeover.
@@ -87,7 +87,7 @@
     on_heartbeat, on_lost : callable
         Called with each heartbeat of a peer, and with the id of a peer
         whose link was closed.
-    interval, silence : float
+    heartbeat_interval, silence_timeout : float
         Seconds between heartbeats, and seconds without an answer to one
         after which a peer is lost.
     """
@@ -102,8 +102,8 @@
         heartbeat: Callable[[], messages.Heartbeat],
         on_heartbeat: Callable[[messages.Heartbeat], None],
         on_lost: Callable[[str], None],
-        interval: float = 0.5,
-        silence: float = 2.0,
+        heartbeat_interval: float = 0.5,
+        silence_timeout: float = 2.0,
     ):
         self._timers = timers
         self._vm = vm
@@ -112,8 +112,8 @@
         self._heartbeat = heartbeat
         self._on_heartbeat = on_heartbeat
         self._on_lost = on_lost
-        self._interval = interval
-        self._silence = silence
+        self._heartbeat_interval = heartbeat_interval
+        self._silence_timeout = silence_timeout
         self._peer_by_vm: dict[str, _Peer] = {}
         self._vm_by_link: dict[link.PeerLink, str] = {}
         self._pending_by_number: dict[int, _PendingRequest] = {}
@@ -126,7 +126,7 @@
     def start(self) -> None:
         """Start to connect to peers and to send heartbeats."""
         self._heartbeat_timer = self._timers.call_every(
-            self._interval, self._check_peers
+            self._heartbeat_interval, self._check_peers
         )
 
     def close(self) -> None:
@@ -151,14 +151,14 @@
                 self._peer_by_vm[vm] = _Peer(vm, address, self._timers.now())
 
     def responsive(self, vm: str) -> bool:
-        """Return whether a heartbeat was answered within ``silence`` seconds.
+        """Return whether the peer answered within ``silence_timeout`` seconds.
 
         A new peer and a newly opened link count as an answer.
         """
         peer = self._peer_by_vm.get(vm)
         if peer is None:
             return False
-        return self._timers.now() - peer.last_heard < self._silence
+        return self._timers.now() - peer.last_heard < self._silence_timeout
 
     def leaving(self, vm: str) -> bool:
         """Return whether the peer's last heartbeat says it shuts down."""
@@ -257,7 +257,7 @@
             peer.dialling = False
             peer.redial_at = self._timers.now() + REDIAL_SECONDS
             # No process listens there: the peer is unresponsive at once,
-            # without a wait for its silence.
+            # without a wait for the timeout.
             peer.last_heard = 0.0
             peer.queue.clear()
             self._fail_requests_to(peer.vm, str(error))
@@ -361,9 +361,9 @@
             if peer.link is None:
                 self._dial(peer)
             elif not peer.link.is_open:
-                if now - peer.dialled_at > self._silence:
+                if now - peer.dialled_at > self._silence_timeout:
                     peer.link.shut()
-            elif now - peer.last_heard > self._silence:
+            elif now - peer.last_heard > self._silence_timeout:
                 LOG.warning(
                     "closing the link to peer %s: no heartbeat answered",
                     peer.vm,
@@ -382,7 +382,7 @@
         self.ask(
             peer.vm,
             self._heartbeat(),
-            self._silence * 2,
+            self._silence_timeout * 2,
             on_reply,
             _do_nothing,
         )
--- a/postspring/peers/tests/test_hub.py
+++ b/postspring/peers/tests/test_hub.py
@@ -36,8 +36,8 @@
             self.heartbeat,
             lambda heartbeat: None,
             self.lost.append,
-            interval=0.02,
-            silence=0.3,
+            heartbeat_interval=0.02,
+            silence_timeout=0.3,
         )
         self.hub.sockets.register(self.root)
         self.root._running = True
@@ -89,7 +89,7 @@
                 vm.root.tick(timeout=0.002)
         self.fail("the loops were turned in vain")
 
-    def send_request(self, message=None, timeout=2.0):
+    def request_second(self, message=None, timeout=2.0):
         """Send a request from the first VM to the second."""
         message = message or coordination.CreateProgram(slot=1, service="a")
         self.first.hub.ask(
@@ -101,7 +101,7 @@
     """Replies to requests, and errors in their place."""
 
     def test_reply_reaches_the_requester(self):
-        self.send_request()
+        self.request_second()
         self.turn_until(lambda: self.replies)
         self.assertEqual("vm-1", self.replies[0].program)
 
@@ -114,13 +114,13 @@
             request=b"x" * 3_000_000,
             step=1,
         )
-        self.send_request(request)
+        self.request_second(request)
         self.turn_until(lambda: self.replies)
         self.assertEqual(request, self.second.requests[0][1])
 
     def test_timeout_error_says_sent(self):
         self.second.replies_to_requests = False
-        self.send_request(timeout=0.1)
+        self.request_second(timeout=0.1)
         self.turn_until(lambda: self.errors)
         self.assertTrue(self.errors[0].sent)
 
@@ -137,7 +137,7 @@
 
     def test_refused_connection_error_says_not_sent(self):
         self.second.hub.sockets.refuse_new()
-        self.send_request()
+        self.request_second()
         self.turn_until(lambda: self.errors)
         self.assertFalse(self.errors[0].sent)
 
@@ -157,7 +157,7 @@
     def test_pending_request_fails_when_vm_is_lost(self):
         self.turn_until(lambda: self.first.hub.is_connected("vm-2"))
         self.running_vms = [self.first]
-        self.send_request(timeout=60)
+        self.request_second(timeout=60)
         self.turn_until(lambda: self.errors)
         self.assertTrue(self.errors[0].sent)
 
