--- a/postspring/client/program.py
+++ b/postspring/client/program.py
@@ -91,8 +91,8 @@
         ):
             if value is not None:
                 body[field] = value
-        answer = client.request("POST", "/v1/programs", body)
-        return cls(client, answer.body["program"])
+        response = client.request("POST", "/v1/programs", body)
+        return cls(client, response.body["program"])
 
     @classmethod
     def resume(
@@ -154,10 +154,10 @@
         body = self._add_step_fields(body)
         if key is not None:
             body["key"] = key
-        answer = self._client.request(
+        response = self._client.request(
             "POST", self._path("/calls"), body, retry_timeout
         )
-        return self._record_turn(answer.body)
+        return self._record_turn(response.body)
 
     def view(self) -> dict[str, Any]:
         """Return the program's state."""
@@ -175,13 +175,13 @@
 
     def end(self) -> int:
         """End the program and return its cost in micro-units."""
-        answer = self._client.request("POST", self._path("/end"), {})
-        return answer.body["spent"]
+        response = self._client.request("POST", self._path("/end"), {})
+        return response.body["spent"]
 
     def cancel(self) -> int:
         """Cancel the program and return its cost in micro-units."""
-        answer = self._client.request("POST", self._path("/cancel"), {})
-        return answer.body["spent"]
+        response = self._client.request("POST", self._path("/cancel"), {})
+        return response.body["spent"]
 
     def _path(self, subpath: str) -> str:
         return f"/v1/programs/{self.program}{subpath}"
--- a/postspring/peers/hub.py
+++ b/postspring/peers/hub.py
@@ -256,8 +256,8 @@
         def on_error(error: errors.TransportError) -> None:
             peer.dialling = False
             peer.redial_at = self._timers.now() + REDIAL_SECONDS
-            # No process listens there: the peer is unresponsive at once,
-            # without a wait for the timeout.
+            # After a failed connection attempt the peer is unresponsive at
+            # once, not only after silence_timeout.
             peer.last_heard = 0.0
             peer.queue.clear()
             self._fail_requests_to(peer.vm, str(error))
--- a/postspring/peers/messages.py
+++ b/postspring/peers/messages.py
@@ -28,11 +28,8 @@
 PROTOCOL_VERSION = 1
 
 peer_messages = codec.MessageRegistry("peer message")
-for (
-    _owner_kind,
-    _owner_type,
-) in coordination.owner_messages.type_by_kind.items():
-    peer_messages.register(_owner_kind)(_owner_type)
+for _kind, _type in coordination.owner_messages.type_by_kind.items():
+    peer_messages.register(_kind)(_type)
 
 
 @peer_messages.register("heartbeat")
