--- a/postspring/configuration/__init__.py
+++ b/postspring/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: the operators' document, its checks and its versions."""
+"""The operators' configuration document: schema, validation, versions."""
 
 from postspring.configuration.fold import configuration_records
 from postspring.configuration.fold import ConfigurationFold
--- a/postspring/configuration/fold.py
+++ b/postspring/configuration/fold.py
@@ -1,4 +1,4 @@
-"""The fold of the configuration stream: compare and publish."""
+"""Replays the configuration stream to find the document in force."""
 
 import collections
 import dataclasses
@@ -17,33 +17,37 @@
     "configuration_records",
 ]
 
-REMEMBERED_CHANGES = 256
+MAX_ACCEPTED_CHANGE_IDS = 256
 configuration_records = codec.MessageRegistry("configuration record")
 
 
 @configuration_records.register("publish")
 @codec.message()
 class Publish:
-    """An operator's new document, or the one in force carried forward.
+    """A record that publishes a document, or repeats the one in force.
+
+    The document in force is carried forward: a new record repeats it, so
+    that it is still in the log after its earlier record has expired.
 
     Parameters
     ==========
 
     change_id : str
-        Chosen by the operator's client; a second copy of the same change
-        is recognised by it.
+        Idempotency key of the change, chosen by the publisher; it
+        identifies a second record of the same change.
     expected_version : int
-        The version that this change was made against.
+        The version that the change was based on.
     version : int
-        The version that the document has if it counts: one more than
-        expected, or the same for a record that carries it forward.
+        The version of the document if the record is accepted: one more
+        than ``expected_version``, or equal to it in a record that carries
+        the document forward.
     document : bytes
         The JSON document.
     author : str
-        Who published it.
+        The publisher, named in conflict errors.
     as_of : int
-        For a record that carries the document forward: the offset up to
-        which its author had read the stream.
+        In a record that carries the document forward: the offset before
+        which the writer's fold had already passed every record.
     """
 
     change_id: str
@@ -55,18 +59,18 @@
 
     @property
     def carries_forward(self) -> bool:
-        """Whether this repeats the version in force before it expires."""
+        """Whether this record repeats a version instead of changing it."""
         return self.version == self.expected_version
 
 
 class PublishConflictError(errors.ConfigurationError):
-    """Another change was published first; the text names its version."""
+    """Another change was published first; the message names its version."""
 
 
 class PublishVerdict(enum.StrEnum):
-    """What became of a published document."""
+    """The result of applying a record of the configuration stream."""
 
-    COUNTED = "counted"
+    ACCEPTED = "counted"
     DUPLICATE = "duplicate"
     WRONG_VERSION = "wrong_version"
     INVALID = "invalid"
@@ -75,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationState:
-    """The document in force.  ``offset`` is that of its latest record."""
+    """The document in force and the ``offset`` of its latest record."""
 
     version: int = 0
     change_id: str = ""
@@ -86,20 +90,21 @@
 
 
 class ConfigurationFold:
-    """Which document is in force, in the order of the log.
+    """Determines the document in force from the records in log order.
 
     Explanation
     ===========
 
-    A document counts if its expected version is the one in force at its
-    offset.  Offsets only grow: whatever is offered at an offset that was
-    applied before is refused, so the configuration never reverts, also when
-    records come from peers.
+    Publishing is a compare-and-set: a record is accepted if its expected
+    version is the version in force at its offset.  Offsets only increase:
+    a record at an offset before ``next_offset`` is rejected, so the
+    configuration never reverts, even when records come from peers.
 
-    A fold that starts after records have expired has no base: nothing
-    counts until a record carries a document forward whose author had read
-    no less than this fold has; the changes read in between are then judged
-    against it.
+    A fold that starts after records have expired has no base, and accepts
+    no record that it reads until it finds a base: a record that carries
+    the document forward and whose writer had passed all the offsets that
+    this fold has skipped.  The records read from ``as_of`` on are then
+    checked against that base.  A record adopted from a peer is a base too.
 
     Examples
     ========
@@ -122,79 +127,100 @@
         self.next_offset = 0
         self._base_offset = 0
         self._has_base = True
-        self._unjudged: list[tuple[int, Publish]] = []
-        self._changes: collections.deque[str] = collections.deque(
-            maxlen=REMEMBERED_CHANGES
+        self._unchecked_records: list[tuple[int, Publish]] = []
+        self._accepted_change_ids: collections.deque[str] = collections.deque(
+            maxlen=MAX_ACCEPTED_CHANGE_IDS
         )
 
     @property
     def has_base(self) -> bool:
-        """Whether records can be judged: nothing was missed, or made up."""
+        """Whether records can be checked against the version in force.
+
+        False between :meth:`skip_to` and the next base.
+        """
         return self._has_base
 
     def counted_change(self, change_id: str) -> bool:
-        """Return whether that change counted, of the latest ones."""
-        return change_id in self._changes
+        """Return whether the change is among the latest accepted ones.
+
+        Only the latest ``MAX_ACCEPTED_CHANGE_IDS`` records are remembered.
+        """
+        return change_id in self._accepted_change_ids
 
     def skip_to(self, offset: int) -> None:
-        """Take note that the records before ``offset`` can't be read.
+        """Continue at ``offset`` because the records before it expired.
 
-        Unless a document is known, a base is needed then; one that is
-        known stays in force until it is carried forward.
+        The document in force stays in force until a base is found.
         """
         self.next_offset = max(self.next_offset, offset)
         self._base_offset = self.next_offset
         self._has_base = False
-        self._unjudged.clear()
+        self._unchecked_records.clear()
 
     def skip_record(self, offset: int) -> None:
-        """Pass over bytes at ``offset`` that are not a record."""
+        """Skip an entry at ``offset`` that can't be decoded."""
         self.next_offset = offset + 1
 
     def apply(self, offset: int, record: Publish) -> PublishVerdict:
-        """Judge the record at ``offset`` and put it in force if it counts."""
+        """Check the record at ``offset`` and put it in force if accepted.
+
+        Raises
+        ======
+
+        ValueError
+            If ``offset`` is before ``next_offset``.
+        """
         if offset < self.next_offset:
-            raise ValueError(f"offset {offset} was applied before")
+            raise ValueError(f"offset {offset} was already applied or skipped")
         self.next_offset = offset + 1
         if self._has_base:
             return self._judge(offset, record)
         if not record.carries_forward or record.as_of < self._base_offset:
-            self._unjudged.append((offset, record))
+            self._unchecked_records.append((offset, record))
             return PublishVerdict.NO_BASE
-        return self._establish(offset, record)
+        return self._put_base_in_force(offset, record)
 
     def adopt(self, offset: int, record: Publish) -> PublishVerdict:
-        """Take over a record that a peer's fold found to count.
+        """Put in force a record that a peer's fold has accepted.
+
+        The peer has checked it against the records before it in the log,
+        so this fold needs none of those that it has not read.
 
-        The peer has judged it against all that stands before it in the
-        log, so what was missed here need not be read any more.
+        Raises
+        ======
+
+        ValueError
+            If ``offset`` is before ``next_offset``.
         """
         if offset < self.next_offset:
-            raise ValueError(f"offset {offset} was applied before")
+            raise ValueError(f"offset {offset} was already applied or skipped")
         self.next_offset = offset + 1
         verdict = self._put_in_force(offset, record)
-        if verdict is PublishVerdict.COUNTED:
+        if verdict is PublishVerdict.ACCEPTED:
             self._has_base = True
-            self._unjudged.clear()
+            self._unchecked_records.clear()
         return verdict
 
-    def _establish(self, offset: int, base: Publish) -> PublishVerdict:
-        """Take a carried document as base, and judge what came between."""
-        between = [
-            (number, record)
-            for number, record in self._unjudged
-            if number >= base.as_of
+    def _put_base_in_force(self, offset: int, base: Publish) -> PublishVerdict:
+        """Put a base in force and check the records from ``as_of`` on."""
+        since_base = [
+            (record_offset, record)
+            for record_offset, record in self._unchecked_records
+            if record_offset >= base.as_of
         ]
-        self._unjudged.clear()
+        self._unchecked_records.clear()
         self._has_base = True
         verdict = self._put_in_force(base.as_of - 1, base)
-        for number, record in between:
-            self._judge(number, record)
+        for record_offset, record in since_base:
+            self._judge(record_offset, record)
         self._judge(offset, base)
         return verdict
 
     def _judge(self, offset: int, record: Publish) -> PublishVerdict:
-        if record.change_id in self._changes and not record.carries_forward:
+        if (
+            record.change_id in self._accepted_change_ids
+            and not record.carries_forward
+        ):
             return PublishVerdict.DUPLICATE
         if record.expected_version != self.state.version:
             return PublishVerdict.WRONG_VERSION
@@ -219,5 +245,5 @@
             record.document,
             parsed,
         )
-        self._changes.append(record.change_id)
-        return PublishVerdict.COUNTED
+        self._accepted_change_ids.append(record.change_id)
+        return PublishVerdict.ACCEPTED
--- a/postspring/configuration/tests/test_schema.py
+++ b/postspring/configuration/tests/test_schema.py
@@ -1,4 +1,4 @@
-"""The configuration document's checks."""
+"""Tests of the configuration document's validation."""
 
 import json
 import unittest
@@ -7,26 +7,26 @@
 from postspring import errors
 
 
-def check(**document):
-    """Check a document given as fields."""
+def parse_fields(**document):
+    """Parse a document that consists of the given fields."""
     return configuration.parse_configuration(json.dumps(document))
 
 
 class SchemaTest(unittest.TestCase):
-    """What is refused, with its path."""
+    """Invalid documents; error messages name the field's path."""
 
-    def faults(self, **document):
-        """Return the text of the refusal."""
+    def error_message(self, **document):
+        """Return the message of the error that the document raises."""
         with self.assertRaises(errors.ConfigurationError) as caught:
-            check(**document)
+            parse_fields(**document)
         return str(caught.exception)
 
-    def test_unknown_keys(self):
-        text = self.faults(services={"a": {"colour": "red"}})
-        self.assertIn("services.a.colour", text)
+    def test_unknown_key_is_rejected(self):
+        message = self.error_message(services={"a": {"colour": "red"}})
+        self.assertIn("services.a.colour", message)
 
-    def test_every_fault_is_named(self):
-        text = self.faults(
+    def test_each_invalid_field_is_named(self):
+        message = self.error_message(
             models={"m": {"prompt_price": -1}},
             upstreams={
                 "u": {
@@ -38,29 +38,29 @@
             },
         )
         for path in ("models.m.prompt_price", "upstreams.u.kind"):
-            self.assertIn(path, text)
-        self.assertIn("upstreams.u.address", text)
+            self.assertIn(path, message)
+        self.assertIn("upstreams.u.address", message)
 
-    def test_names_that_nothing_defines(self):
-        text = self.faults(services={"a": {"models": ["none"]}})
-        self.assertIn("services.a.models: 'none' is not defined", text)
+    def test_undefined_model_of_service(self):
+        message = self.error_message(services={"a": {"models": ["none"]}})
+        self.assertIn("services.a.models: 'none' is not defined", message)
 
-    def test_upstream_that_serves_an_undefined_model(self):
+    def test_undefined_model_of_upstream(self):
         upstream = {
             "kind": "engine",
             "data_center": "surco",
             "address": "127.0.0.1:1",
             "serves": ["ghost"],
         }
-        self.assertIn("ghost", self.faults(upstreams={"u": upstream}))
+        self.assertIn("ghost", self.error_message(upstreams={"u": upstream}))
 
-    def test_not_json_and_too_large(self):
+    def test_malformed_and_oversized_documents(self):
         for document in ("{", " " * 300_000):
             with self.assertRaises(errors.ConfigurationError):
                 configuration.parse_configuration(document)
 
-    def test_other_schema_versions(self):
-        self.assertIn("schema_version", self.faults(schema_version=2))
+    def test_other_schema_version_is_rejected(self):
+        self.assertIn("schema_version", self.error_message(schema_version=2))
 
-    def test_an_empty_document_is_fine(self):
-        self.assertEqual({}, check().services)
+    def test_empty_document_is_valid(self):
+        self.assertEqual({}, parse_fields().services)
