--- a/postspring/command/__init__.py
+++ b/postspring/command/__init__.py
@@ -1,4 +1,4 @@
-"""Command: the operators' query and command language, without I/O."""
+"""The operators' query and command language, without I/O."""
 
 from postspring.command.evaluation import evaluate
 from postspring.command.evaluation import Table
@@ -10,9 +10,9 @@
 from postspring.command.statements import DeclareLost
 from postspring.command.statements import Drain
 from postspring.command.statements import EngineOrder
-from postspring.command.statements import Order
 from postspring.command.statements import Query
 from postspring.command.statements import SetField
+from postspring.command.statements import SortKey
 from postspring.command.statements import Statement
 
 __all__ = [
@@ -22,9 +22,9 @@
     "DeclareLost",
     "Drain",
     "EngineOrder",
-    "Order",
     "Query",
     "SetField",
+    "SortKey",
     "Statement",
     "Table",
     "evaluate",
--- a/postspring/command/evaluation.py
+++ b/postspring/command/evaluation.py
@@ -1,4 +1,4 @@
-"""Filter, group, order and limit over rows."""
+"""Evaluates a query over rows: filter, group, sort and limit."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -16,15 +16,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Table:
-    """An answer: columns and rows, and who could not be asked."""
+    """The result of a query; ``unreachable`` names VMs without a reply."""
 
     columns: tuple[str, ...]
     rows: tuple[tuple, ...]
     unreachable: tuple[str, ...] = ()
 
 
-def _contains(value: Any, part: Any) -> bool:
-    return str(part) in str(value)
+def _contains(value: Any, substring: Any) -> bool:
+    return str(substring) in str(value)
 
 
 _COMPARE_BY_OPERATOR: dict[str, Callable[[Any, Any], bool]] = {
@@ -44,21 +44,22 @@
     fields: tuple[str, ...],
     unreachable: tuple[str, ...] = (),
 ) -> Table:
-    """Return the table that a query asks for.
+    """Return the result of a query.
 
     Parameters
     ----------
     rows
-        All rows of the collection, as far as they could be had.
+        The rows of the collection, without those of unreachable VMs.
     fields
-        The collection's fields, in order.
+        The names of the collection's fields, in the order of columns.
     unreachable
-        Who could not be asked.
+        The VMs whose rows are missing.
 
     Raises
     ------
     CommandError
-        If the query names a field that the collection lacks.
+        If the collection lacks a field that the query names, or a column
+        beside an aggregate is not a grouping column.
 
     Examples
     --------
@@ -72,21 +73,23 @@
     ((8,),)
     """
     _check_fields(query, fields)
-    kept = [row for row in rows if _matches(row, query.where)]
+    selected = [row for row in rows if _matches(row, query.where)]
     if query.aggregates or query.group_by:
-        columns, kept = _grouped(query, kept)
+        columns, selected = _group_rows(query, selected)
     else:
         columns = query.fields or fields
-    for order in reversed(query.order):
-        kept.sort(
-            key=lambda row: _sort_key(row.get(order.field)),
-            reverse=order.descending,
+    for sort_key in reversed(query.order_by):
+        selected.sort(
+            key=lambda row: _comparable(row.get(sort_key.field)),
+            reverse=sort_key.descending,
         )
     if query.limit is not None:
-        kept = kept[: query.limit]
+        selected = selected[: query.limit]
     return Table(
         tuple(columns),
-        tuple(tuple(row.get(column) for column in columns) for row in kept),
+        tuple(
+            tuple(row.get(column) for column in columns) for row in selected
+        ),
         unreachable,
     )
 
@@ -94,22 +97,24 @@
 def _check_fields(query: statements.Query, fields: tuple[str, ...]) -> None:
     names = [*query.fields, *query.group_by]
     names += [comparison.field for comparison in query.where]
-    names += [item.field for item in query.aggregates if item.field]
+    names += [
+        aggregate.field for aggregate in query.aggregates if aggregate.field
+    ]
     aggregates = {aggregate.name for aggregate in query.aggregates}
-    for order in query.order:
-        if order.field not in aggregates:
-            names.append(order.field)
+    for sort_key in query.order_by:
+        if sort_key.field not in aggregates:
+            names.append(sort_key.field)
     for name in names:
         if name not in fields:
             raise errors.CommandError(
-                f"{query.collection} have no field {name!r}; "
-                f"there are: {', '.join(fields)}"
+                f"{query.collection}: unknown field {name!r}; "
+                f"known fields: {', '.join(fields)}"
             )
     if query.aggregates or query.group_by:
         for name in query.fields:
             if name not in query.group_by:
                 raise errors.CommandError(
-                    f"{name!r} must stand after 'by' to be shown beside "
+                    f"{name!r} must be listed after 'by' to be shown with "
                     "an aggregate"
                 )
 
@@ -126,7 +131,7 @@
     return True
 
 
-def _grouped(
+def _group_rows(
     query: statements.Query, rows: list[Row]
 ) -> tuple[tuple[str, ...], list[Row]]:
     aggregates = query.aggregates or (statements.Aggregate("count"),)
@@ -134,17 +139,22 @@
     if not query.group_by:
         rows_by_key[()] = []
     for row in rows:
-        key = tuple(_hashable(row.get(name)) for name in query.group_by)
+        key = tuple(_to_hashable(row.get(name)) for name in query.group_by)
         rows_by_key.setdefault(key, []).append(row)
-    columns = (*query.group_by, *(item.name for item in aggregates))
-    grouped = []
-    for key, members in rows_by_key.items():
-        values = [_aggregate(item, members) for item in aggregates]
-        grouped.append(dict(zip(columns, (*key, *values))))
-    return columns, grouped
-
-
-def _aggregate(aggregate: statements.Aggregate, rows: list[Row]) -> Any:
+    columns = (*query.group_by, *(aggregate.name for aggregate in aggregates))
+    group_rows = []
+    for key, rows_of_group in rows_by_key.items():
+        values = [
+            _compute_aggregate(aggregate, rows_of_group)
+            for aggregate in aggregates
+        ]
+        group_rows.append(dict(zip(columns, (*key, *values))))
+    return columns, group_rows
+
+
+def _compute_aggregate(
+    aggregate: statements.Aggregate, rows: list[Row]
+) -> Any:
     if aggregate.field is None:
         return len(rows)
     values = [
@@ -160,12 +170,12 @@
     return function(values)
 
 
-def _hashable(value: Any) -> Any:
+def _to_hashable(value: Any) -> Any:
     return tuple(value) if isinstance(value, list) else value
 
 
-def _sort_key(value: Any) -> tuple:
-    """Order numbers before texts, and nothing first."""
+def _comparable(value: Any) -> tuple:
+    """Return a key that sorts null first, then numbers, then strings."""
     if value is None:
         return (0, 0, "")
     if isinstance(value, (int, float)):
--- a/postspring/command/formats.py
+++ b/postspring/command/formats.py
@@ -1,4 +1,4 @@
-"""Answers as a table, JSON or CSV."""
+"""Formats a query's result as a text table, JSON or CSV."""
 
 import csv
 import io
@@ -14,12 +14,12 @@
 
 
 def format_table(table: evaluation.Table, name: str) -> str:
-    """Return the table in a format.
+    """Return the table as text in the format of the given name.
 
     Raises
     ------
     ConfigurationError
-        If there is no format of that name.
+        If no format has that name.
 
     Examples
     --------
@@ -32,39 +32,39 @@
 
 
 @format_by_name.register("table")
-def _as_table(table: evaluation.Table) -> str:
-    lines = [table.columns, *table.rows]
-    texts = [[_text(value) for value in line] for line in lines]
-    widths = [
-        max(len(line[i]) for line in texts) for i in range(len(lines[0]))
-    ]
-    printed = [
+def _format_text(table: evaluation.Table) -> str:
+    rows = [table.columns, *table.rows]
+    cells = [[_format_value(value) for value in row] for row in rows]
+    widths = [max(len(row[i]) for row in cells) for i in range(len(rows[0]))]
+    lines = [
         "  ".join(
-            text.ljust(width) for text, width in zip(line, widths)
+            cell.ljust(width) for cell, width in zip(row, widths)
         ).rstrip()
-        for line in texts
+        for row in cells
     ]
     if table.unreachable:
-        printed.append(f"-- not reached: {', '.join(table.unreachable)}")
-    return "\n".join(printed)
+        lines.append(f"-- not reached: {', '.join(table.unreachable)}")
+    return "\n".join(lines)
 
 
 @format_by_name.register("json")
-def _as_json(table: evaluation.Table) -> str:
+def _format_json(table: evaluation.Table) -> str:
     rows = [dict(zip(table.columns, row)) for row in table.rows]
     return json.dumps({"rows": rows, "unreachable": list(table.unreachable)})
 
 
 @format_by_name.register("csv")
-def _as_csv(table: evaluation.Table) -> str:
-    text = io.StringIO()
-    writer = csv.writer(text, lineterminator="\n")
+def _format_csv(table: evaluation.Table) -> str:
+    buffer = io.StringIO()
+    writer = csv.writer(buffer, lineterminator="\n")
     writer.writerow(table.columns)
-    writer.writerows([_text(value) for value in row] for row in table.rows)
-    return text.getvalue().rstrip("\n")
+    writer.writerows(
+        [_format_value(value) for value in row] for row in table.rows
+    )
+    return buffer.getvalue().rstrip("\n")
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if value is None:
         return "-"
     if isinstance(value, float):
--- a/postspring/command/grammar.py
+++ b/postspring/command/grammar.py
@@ -1,4 +1,4 @@
-"""The grammar, by lark; errors point at the column."""
+"""The language's grammar for lark, and its parser."""
 
 import lark
 
@@ -55,8 +55,8 @@
 """
 
 
-class _Build(lark.Transformer):
-    """Turns the parse tree into statements."""
+class _StatementBuilder(lark.Transformer):
+    """Transforms a parse tree into a statement, one method per rule."""
 
     def start(self, children):
         return children[0]
@@ -110,7 +110,7 @@
         column, direction = children
         name = column if isinstance(column, str) else column.name
         descending = str(direction or "asc").lower() == "desc"
-        return statements.Order(name, descending)
+        return statements.SortKey(name, descending)
 
     def order(self, children):
         return tuple(children)
@@ -174,17 +174,18 @@
 
 
 _PARSER = lark.Lark(GRAMMAR, parser="earley", maybe_placeholders=True)
-_BUILD = _Build()
-MAX_TEXT = 4096
+_STATEMENT_BUILDER = _StatementBuilder()
+MAX_STATEMENT_CHARACTERS = 4096
 
 
 def parse(text: str) -> statements.Statement:
-    """Return the statement that a text says.
+    """Parse the text of one statement.
 
     Raises
     ------
     CommandError
-        With the line and column of the fault, and what was expected.
+        If the text is too long or is not a statement; for a syntax error,
+        the message shows the column and the expected terminals.
 
     Examples
     --------
@@ -193,30 +194,36 @@
     >>> parse("drain upstream engine-1").name
     'engine-1'
     """
-    if len(text) > MAX_TEXT:
-        raise errors.CommandError(f"text is over {MAX_TEXT} characters")
+    if len(text) > MAX_STATEMENT_CHARACTERS:
+        raise errors.CommandError(
+            f"statement exceeds {MAX_STATEMENT_CHARACTERS} characters"
+        )
     try:
-        return _BUILD.transform(_PARSER.parse(text))
+        return _STATEMENT_BUILDER.transform(_PARSER.parse(text))
     except lark.UnexpectedEOF as error:
         column = len(text) + 1
         raise errors.CommandError(
-            _point(text, column, "more is expected here", error.expected)
+            _syntax_error_message(
+                text, column, "unexpected end of statement", error.expected
+            )
         ) from error
     except lark.UnexpectedInput as error:
         expected = getattr(error, "allowed", None) or getattr(
             error, "expected", ()
         )
         raise errors.CommandError(
-            _point(text, error.column, "not understood", expected)
+            _syntax_error_message(text, error.column, "syntax error", expected)
         ) from error
     except lark.exceptions.LarkError as error:
         raise errors.CommandError(str(error)) from error
 
 
-def _point(text: str, column: int, what: str, expected) -> str:
-    """Return the text with a mark under the column."""
-    names = ", ".join(sorted(str(name).lower() for name in expected or ()))
-    line = text.replace("\n", " ")
-    hint = f"; expected one of: {names}" if names else ""
+def _syntax_error_message(
+    text: str, column: int, problem: str, expected
+) -> str:
+    """Return a message that shows the text with a mark under the column."""
+    terminals = ", ".join(sorted(str(name).lower() for name in expected or ()))
+    text_line = text.replace("\n", " ")
+    hint = f"; expected one of: {terminals}" if terminals else ""
     mark = " " * (column - 1) + "^"
-    return f"column {column}: {what}{hint}\n{line}\n{mark}"
+    return f"column {column}: {problem}{hint}\n{text_line}\n{mark}"
--- a/postspring/command/statements.py
+++ b/postspring/command/statements.py
@@ -1,4 +1,4 @@
-"""What a text of the language means: typed statements."""
+"""The statements of the language as data classes."""
 
 import dataclasses
 
@@ -9,9 +9,9 @@
     "DeclareLost",
     "Drain",
     "EngineOrder",
-    "Order",
     "Query",
     "SetField",
+    "SortKey",
     "Statement",
     "Value",
 ]
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Comparison:
-    """``field operator value``."""
+    """A condition ``field operator value`` of ``where``."""
 
     field: str
     operator: str
@@ -37,7 +37,7 @@
 
     @property
     def name(self) -> str:
-        """The column's name."""
+        """The name of the result's column."""
         return (
             self.function
             if self.field is None
@@ -46,8 +46,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Order:
-    """Sort by a column."""
+class SortKey:
+    """A column to sort by; ``field`` is a field or an aggregate's name."""
 
     field: str
     descending: bool = False
@@ -55,20 +55,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Query:
-    """``show``: columns or aggregates of a collection."""
+    """``show``: query fields or aggregates of a collection."""
 
     collection: str
     fields: tuple[str, ...] = ()
     aggregates: tuple[Aggregate, ...] = ()
     where: tuple[Comparison, ...] = ()
     group_by: tuple[str, ...] = ()
-    order: tuple[Order, ...] = ()
+    order_by: tuple[SortKey, ...] = ()
     limit: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drain:
-    """``drain`` or ``return`` an upstream or VM."""
+    """``drain`` or ``return``: start or end draining an upstream or VM."""
 
     kind: str
     name: str
@@ -87,14 +87,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cancel:
-    """``cancel program``."""
+    """``cancel program``: cancel a program by its id."""
 
     program: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineOrder:
-    """``load``, ``unload`` a model or adapter on an engine, or its role."""
+    """``load``, ``unload`` or ``set role``: an order for an engine.
+
+    ``argument`` is the model or adapter to load, the model to unload, or
+    the engine's new role.
+    """
 
     order: str
     engine: str
@@ -103,7 +107,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeclareLost:
-    """``declare``: a data centre is lost, or is back."""
+    """``declare``: mark a data centre as lost, or as back."""
 
     data_center: str
     lost: bool
--- a/postspring/command/tests/test_language.py
+++ b/postspring/command/tests/test_language.py
@@ -1,4 +1,4 @@
-"""The query and command language."""
+"""Tests of the query and command language."""
 
 import pathlib
 import unittest
@@ -18,19 +18,19 @@
 ]
 
 
-def show(text, rows=ROWS):
-    """Return the rows of a query's answer."""
+def query_rows(text, rows=ROWS):
+    """Return the rows of a query's result."""
     return command.evaluate(command.parse(text), rows, FIELDS).rows
 
 
 class QueryTest(unittest.TestCase):
-    """Filter, group, order and limit."""
+    """Queries that filter, group, sort and limit."""
 
     def test_where_order_and_limit(self):
         text = (
             "show programs (id) where spent >= 2 order by spent desc limit 2"
         )
-        self.assertEqual((("b",), ("a",)), show(text))
+        self.assertEqual((("b",), ("a",)), query_rows(text))
 
     def test_comparisons(self):
         for condition, expected in (
@@ -42,7 +42,7 @@
             ("id > 3", ""),
         ):
             with self.subTest(condition=condition):
-                rows = show(f"show programs (id) where {condition}")
+                rows = query_rows(f"show programs (id) where {condition}")
                 self.assertEqual(expected, "".join(row[0] for row in rows))
 
     def test_aggregates(self):
@@ -51,14 +51,14 @@
             "by service order by sum(spent)"
         )
         self.assertEqual(
-            (("advisor", 1, 2, 2), ("triage", 2, 14, 9)), show(text)
+            (("advisor", 1, 2, 2), ("triage", 2, 14, 9)), query_rows(text)
         )
 
-    def test_aggregates_of_nothing(self):
+    def test_aggregates_of_no_rows(self):
         text = "show programs (count, avg(spent))"
-        self.assertEqual(((0, None),), show(text, []))
+        self.assertEqual(((0, None),), query_rows(text, []))
 
-    def test_faults(self):
+    def test_invalid_queries(self):
         for text in (
             "show programs (colour)",
             "show programs where colour = 1",
@@ -67,13 +67,13 @@
         ):
             with self.subTest(text=text):
                 with self.assertRaises(errors.CommandError):
-                    show(text)
+                    query_rows(text)
 
 
 class GrammarTest(unittest.TestCase):
-    """Texts that are refused."""
+    """Syntax errors."""
 
-    def test_errors_point_at_the_column(self):
+    def test_syntax_error_marks_column(self):
         with self.assertRaises(errors.CommandError) as caught:
             command.parse("show programs wher spent > 3")
         message = str(caught.exception)
@@ -81,7 +81,7 @@
         self.assertEqual(" " * 14 + "^", message.splitlines()[-1])
 
     @hypothesis.given(strategies.text(max_size=60))
-    def test_any_text_is_a_statement_or_a_command_error(self, text):
+    def test_any_text_parses_or_raises_command_error(self, text):
         try:
             parsed = command.parse(text)
         except errors.CommandError as error:
@@ -91,56 +91,56 @@
 
 
 class FormatTest(unittest.TestCase):
-    """Tables, JSON and CSV."""
+    """Results as text tables, JSON and CSV."""
 
     TABLE = command.Table(("id", "n"), (("a", None), ("b,c", 2)), ("vm-3",))
 
-    def test_unreachable_vms_are_named(self):
+    def test_unreachable_vms_are_listed(self):
         self.assertIn("vm-3", command.format_table(self.TABLE, "table"))
         self.assertIn("vm-3", command.format_table(self.TABLE, "json"))
 
-    def test_csv_quotes(self):
+    def test_csv_quotes_commas(self):
         text = command.format_table(self.TABLE, "csv")
         self.assertEqual('id,n\na,-\n"b,c",2', text)
 
-    def test_unknown_formats(self):
+    def test_unknown_format_is_rejected(self):
         with self.assertRaises(errors.ConfigurationError):
             command.format_table(self.TABLE, "yaml")
 
 
 class EditTest(unittest.TestCase):
-    """Changes as edits of the configuration."""
+    """Statements applied as edits to the configuration document."""
 
     def edit(self, text, document=b'{"upstreams": {"e": {}}}'):
-        """Return the edited document."""
+        """Return the document after the statement in ``text``."""
         return configuration_edits.edit(document, command.parse(text))
 
-    def test_drain_and_return(self):
+    def test_drain_and_return_upstream(self):
         drained = self.edit("drain upstream e")
         self.assertIn(b'"draining": true', drained)
         back = self.edit("return upstream e", drained)
         self.assertIn(b'"draining": false', back)
 
-    def test_a_new_service(self):
+    def test_setting_field_creates_service(self):
         text = 'set service triage models = "m1,m2"'
         self.assertIn(b'{"models": ["m1", "m2"]}', self.edit(text))
 
-    def test_an_upstream_that_is_not_there(self):
+    def test_unknown_upstream_is_rejected(self):
         for text in ("drain upstream x", "set upstream x concurrency = 1"):
             with self.assertRaises(errors.CommandError):
                 self.edit(text)
 
-    def test_declaring_a_data_centre_lost(self):
+    def test_declare_data_centre_lost_and_back(self):
         lost = self.edit("declare data_center rimac lost")
         self.assertIn(b'["rimac"]', lost)
         back = self.edit("declare data_center rimac back", lost)
         self.assertIn(b'"lost_data_centers": []', back)
 
 
-class PageTest(unittest.TestCase):
-    """The examples of the grammar's page."""
+class DocumentationTest(unittest.TestCase):
+    """The examples in the documentation of the language."""
 
-    def test_every_example_is_understood(self):
+    def test_every_example_is_parsed(self):
         page = pathlib.Path(__file__).parents[3] / "docs" / "COMMANDS.md"
         block = page.read_text().split("```")[1]
         lines = [line for line in block.splitlines() if line.strip()]
