--- a/postspring/settings/__init__.py
+++ b/postspring/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon, checked before anything starts."""
+"""The daemon's settings, validated before any component starts."""
 
 from postspring.settings.entry_settings import EntrySettings
 from postspring.settings.entry_settings import load_settings
--- a/postspring/settings/entry_settings.py
+++ b/postspring/settings/entry_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon, from flags and environment variables."""
+"""The daemon's settings, from flags and environment variables."""
 
 import ipaddress
 from typing import Annotated
@@ -21,15 +21,21 @@
 
 
 def split_address(value: str) -> tuple[str, int]:
-    """Return ``(ip, port)`` from ``ip:port``; raise ValueError if bad."""
+    """Return ``(ip, port)`` from ``ip:port``; port 0 is allowed.
+
+    Raises
+    ------
+    ValueError
+        If the text, the IP number or the port is invalid.
+    """
     host, separator, port = value.rpartition(":")
     if not separator:
         raise ValueError("must be ip:port")
     ipaddress.ip_address(host)
-    number = int(port)
-    if not 0 <= number < 65536:
+    port_number = int(port)
+    if not 0 <= port_number < 65536:
         raise ValueError("port is out of range")
-    return host, number
+    return host, port_number
 
 
 def _check_address(value: str) -> str:
@@ -40,14 +46,14 @@
 def _check_placement(value: str) -> str:
     if value not in scheduling.placement_by_name:
         known = ", ".join(scheduling.placement_by_name)
-        raise ValueError(f"no such policy; there are: {known}")
+        raise ValueError(f"unknown policy; known policies: {known}")
     return value
 
 
 def _check_order(value: str) -> str:
     if value not in scheduling.order_by_name:
         known = ", ".join(scheduling.order_by_name)
-        raise ValueError(f"no such policy; there are: {known}")
+        raise ValueError(f"unknown policy; known policies: {known}")
     return value
 
 
@@ -57,36 +63,40 @@
 class EntrySettings(pydantic_settings.BaseSettings):
     """Settings of an entry VM's daemon.
 
-    Each can be given as a flag (``--peer_listen=...``) or as a variable
-    (``POSTSPRING_PEER_LISTEN=...``); a flag goes first.
+    Each setting is a flag (``--peer_listen=...``) or an environment variable
+    (``POSTSPRING_PEER_LISTEN=...``); the flag takes precedence.
 
     Parameters
     ==========
 
     vm, data_center : str
-        This VM's id and data centre, as the platform lists them.
+        The id and data centre of this VM in the platform's list of VMs.
     listen, peer_listen, platform : str
-        ``ip:port`` for callers, for other VMs, and of the platform.
+        ``ip:port`` of the listener for callers, of the listener for other
+        VMs, and of the platform.
     peer_key : secret str
-        The key that all VMs of the system share.
+        The secret that all VMs of the system share.
     operator_key : secret str
-        The key that operators' commands carry; without one, commands are
-        taken from anybody who reaches the callers' listener.
+        The key that authorizes operators' commands; if it is empty, every
+        client of the callers' listener may run commands.
     slots : int
-        Slots of each data centre; the same on every VM, for ever.
+        Number of slots of each data centre; it must be the same on every
+        VM and must never change.
     batch_delay, hold_after, peer_interval, peer_silence, drain : float
-        Seconds: group commit's delay, until a turn is answered as held,
-        between heartbeats, without one until a peer is lost, and the
-        longest graceful shutdown.
+        In seconds: the delay of group commit, the time after which a turn
+        that is not in the log yet is answered as held, the interval of
+        heartbeats, the time without a heartbeat after which a peer counts
+        as lost, and the limit of a graceful shutdown.
     placement, order : str
-        Names of scheduling policies.
+        Names of the scheduling policies.
     copies : int
-        VMs that get a copy of each turn that the log can't take yet.
+        Number of VMs that hold a copy of each turn that can't be written
+        to the log yet.
     carry_every : float
-        Seconds after which live state is written to the log again; less
-        than half of the time for which the log keeps records.
+        Interval in seconds at which live state is written to the log again;
+        it must be less than half of the log's retention time.
     max_waiting : int
-        Calls that may wait for one target.
+        Limit of the calls that wait for one target.
     """
 
     model_config = pydantic_settings.SettingsConfigDict(
@@ -119,18 +129,19 @@
 
 
 def load_settings(flags: dict[str, Any]) -> EntrySettings:
-    """Return the checked settings.
+    """Return the validated settings.
 
     Raises
     ------
     SettingsError
-        Naming every fault, never the value of a secret.
+        If a setting is invalid; the message names each invalid setting,
+        but contains no secret value.
     """
     try:
         return EntrySettings(**flags)
     except pydantic.ValidationError as error:
-        faults = [
-            f"{'.'.join(str(part) for part in fault['loc'])}: {fault['msg']}"
-            for fault in error.errors(include_input=False)
+        messages = [
+            f"{'.'.join(str(part) for part in detail['loc'])}: {detail['msg']}"
+            for detail in error.errors(include_input=False)
         ]
-        raise errors.SettingsError("\n".join(faults)) from None
+        raise errors.SettingsError("\n".join(messages)) from None
--- a/postspring/settings/tests/test_settings.py
+++ b/postspring/settings/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings from flags and variables."""
+"""Tests of the settings from flags and environment variables."""
 
 import os
 import unittest
@@ -17,30 +17,30 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """What is taken and what is refused."""
+    """Precedence, validation and secrecy of settings."""
 
-    def test_variables_and_flags_which_go_first(self):
+    def test_flag_takes_precedence_over_variable(self):
         variables = {"POSTSPRING_SLOTS": "8", "POSTSPRING_VM": "other"}
         with mock.patch.dict(os.environ, variables):
-            checked = settings.load_settings(FLAGS)
-        self.assertEqual((8, "rimac-1"), (checked.slots, checked.vm))
+            loaded = settings.load_settings(FLAGS)
+        self.assertEqual((8, "rimac-1"), (loaded.slots, loaded.vm))
 
-    def test_every_fault_is_named_at_once(self):
-        wrong = FLAGS | {"slots": "0", "listen": "host:1", "colour": "red"}
-        del wrong["vm"]
+    def test_all_invalid_settings_are_named_together(self):
+        invalid = FLAGS | {"slots": "0", "listen": "host:1", "colour": "red"}
+        del invalid["vm"]
         with self.assertRaises(errors.SettingsError) as caught:
-            settings.load_settings(wrong)
+            settings.load_settings(invalid)
         for name in ("slots", "listen", "colour", "vm"):
             self.assertIn(name, str(caught.exception))
 
-    def test_secrets_are_not_shown(self):
-        checked = settings.load_settings(FLAGS | {"peer_key": "hush"})
-        self.assertNotIn("hush", repr(checked))
+    def test_secret_is_not_in_repr_or_messages(self):
+        loaded = settings.load_settings(FLAGS | {"peer_key": "hush"})
+        self.assertNotIn("hush", repr(loaded))
         with self.assertRaises(errors.SettingsError) as caught:
             settings.load_settings(FLAGS | {"peer_key": "hush", "slots": "x"})
         self.assertNotIn("hush", str(caught.exception))
 
-    def test_unknown_policies_are_refused(self):
+    def test_unknown_policy_is_rejected(self):
         with self.assertRaises(errors.SettingsError) as caught:
             settings.load_settings(FLAGS | {"placement": "darts"})
         self.assertIn("placement", str(caught.exception))
