--- a/postspring/web/__init__.py
+++ b/postspring/web/__init__.py
@@ -1,4 +1,4 @@
-"""Web: the HTTP server side, by circuits.web."""
+"""An HTTP server on circuits.web, and request routing."""
 
 from postspring.web.routes import Route
 from postspring.web.routes import Router
--- a/postspring/web/routes.py
+++ b/postspring/web/routes.py
@@ -1,4 +1,4 @@
-"""Routes of an HTTP interface, filled by decorators."""
+"""Request routing; decorators register the routes."""
 
 from collections.abc import Callable
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """A method and a path pattern, and the function that answers them."""
+    """An HTTP method, a path pattern and the function that handles them."""
 
     method: str
     pattern: str
@@ -20,7 +20,7 @@
 
 
 class Router:
-    """Finds the function for a request.
+    """Finds the function that handles a request.
 
     Examples
     ========
@@ -40,11 +40,11 @@
         self.routes: list[Route] = []
 
     def route(self, method: str, pattern: str) -> Callable:
-        """Return a decorator that adds a route; ``<name>`` is one segment.
+        """Return a decorator that adds a route; ``<name>`` matches a segment.
 
-        A last segment ``<rest>`` takes all that is left of the path.
+        A final ``<rest>`` matches the remainder of the path.
         """
-        text = _PARAMETER.sub(
+        expression_text = _PARAMETER.sub(
             lambda match: (
                 f"(?P<{match[1]}>.*)"
                 if match[1] == "rest"
@@ -54,7 +54,7 @@
         )
 
         def add(function: Callable) -> Callable:
-            expression = re.compile(text)
+            expression = re.compile(expression_text)
             self.routes.append(Route(method, pattern, expression, function))
             return function
 
@@ -63,7 +63,7 @@
     def find(
         self, method: str, path: str
     ) -> tuple[Callable, dict[str, str]] | None:
-        """Return the function and its arguments, or None."""
+        """Return the handling function and its path arguments, or None."""
         for route in self.routes:
             if route.method != method:
                 continue
--- a/postspring/web/server.py
+++ b/postspring/web/server.py
@@ -1,4 +1,4 @@
-"""HTTP server: circuits.web with bounds and answers that come later."""
+"""HTTP server on circuits.web with size limits and deferred responses."""
 
 from collections.abc import Callable
 import dataclasses
@@ -19,17 +19,17 @@
 __all__ = ["IncomingRequest", "WebLimits", "WebServer"]
 
 LOG = logging.getLogger(__name__)
-SWEEP_SECONDS = 2.0
+TIMEOUT_CHECK_SECONDS = 2.0
 END_OF_HEADERS = b"\r\n\r\n"
 READ_BYTES = 64 * 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WebLimits:
-    """Bounds of the HTTP server; sizes in bytes, times in seconds.
+    """Limits of the HTTP server; sizes in bytes, times in seconds.
 
-    ``unsent`` is how much a slow caller may leave unread before its
-    stream is paused.
+    ``unsent`` is the amount of unsent data at which the stream to a slow
+    caller is paused.
     """
 
     body: int = 4 * 1024 * 1024
@@ -40,14 +40,15 @@
 
 
 class IncomingRequest:
-    """A request and the answer to it, which may come at any later time.
+    """A request and its response, which may be sent at any later time.
 
     Explanation
     ===========
 
-    Answer with :meth:`respond` or :meth:`respond_json`, or with
-    :meth:`start_stream`, :meth:`send` and :meth:`finish`.  When the caller
-    is gone, answers go nowhere and ``on_gone`` was called.
+    Respond with :meth:`respond` or :meth:`respond_json`, or with
+    :meth:`start_stream`, :meth:`send` and :meth:`finish`.  If the caller
+    disconnects before the response is complete, ``on_gone`` is called and
+    these methods do nothing from then on.
     """
 
     def __init__(self, server: "WebServer", request: Any, response: Any):
@@ -67,11 +68,11 @@
 
     @property
     def socket(self) -> socket.socket:
-        """The caller's connection."""
+        """The socket of the caller's connection."""
         return self._request.sock
 
     def header(self, name: str, default: str = "") -> str:
-        """Return a header's value."""
+        """Return the value of a header field."""
         return self._request.headers.get(name, default)
 
     def respond(
@@ -81,7 +82,7 @@
         content_type: str = "application/octet-stream",
         headers: dict[str, str] | None = None,
     ) -> None:
-        """Give a whole answer."""
+        """Send a complete response."""
         if self.answered or self.gone:
             return
         self.answered = True
@@ -94,17 +95,17 @@
         if not body:
             response.headers["Content-Length"] = "0"
         self._server.fire(web_events.response(response), "web")
-        self._server.release(self)
+        self._server.release_connection(self)
 
     def respond_json(
         self, status: int, value: Any, headers: dict[str, str] | None = None
     ) -> None:
-        """Give a whole answer in JSON."""
+        """Send a complete response with a JSON body."""
         body = json.dumps(value).encode()
         self.respond(status, body, "application/json", headers)
 
     def start_stream(self, content_type: str) -> None:
-        """Begin a chunked answer."""
+        """Send the header of a streamed response."""
         if self.answered or self.gone:
             return
         self.answered = True
@@ -113,37 +114,37 @@
         response.stream = True
         response.headers["Content-Type"] = content_type
         response.headers["Cache-Control"] = "no-store"
-        # An empty generator: circuits.web then chunks the answer.
+        # circuits.web uses the chunked encoding if the body is a generator.
         response.body = (part for part in ())
         response.prepare()
-        self._server.write_now(
+        self._server.send_or_buffer(
             self.socket, bytes(response) + bytes(response.headers)
         )
 
     def send(self, data: bytes) -> None:
-        """Send a part of a chunked answer, without an event."""
+        """Send a part of a streamed response, bypassing circuits events."""
         if self.gone or not data:
             return
         if self._response.chunked:
             data = b"%x\r\n%b\r\n" % (len(data), data)
-        self._server.write_now(self.socket, data)
+        self._server.send_or_buffer(self.socket, data)
 
     def finish(self) -> None:
-        """End a chunked answer."""
+        """End a streamed response."""
         if self.gone or not self.streaming:
             return
         self.streaming = False
         self._server.fire(web_events.stream(self._response, None), "web")
-        self._server.release(self)
+        self._server.release_connection(self)
 
     @property
     def unsent_bytes(self) -> int:
-        """How many bytes of the answer the caller has not taken yet."""
+        """Number of bytes that wait in the connection's send buffer."""
         return self._server.unsent_bytes(self.socket)
 
 
-class _Progress:
-    """What has come of a request that is not whole yet."""
+class _PartialRequest:
+    """The bytes received of a request that is not complete yet."""
 
     __slots__ = ("since", "data")
 
@@ -151,40 +152,40 @@
         self.since = since
         self.data = bytearray()
 
-    def beyond(self, body_length: int) -> bytearray:
-        """Return the bytes that follow a request with such a body."""
+    def bytes_after_body(self, body_length: int) -> bytearray:
+        """Return the bytes that follow a body of ``body_length`` bytes."""
         end = self.data.find(END_OF_HEADERS)
         return self.data[end + len(END_OF_HEADERS) + body_length :]
 
 
-class _QuietServer(servers.BaseServer):
-    """circuits.web's server, without its own words and its own shutdown."""
+class _EmbeddedServer(servers.BaseServer):
+    """circuits.web's server without its signal handling and its output."""
 
     @handler("signal", override=True)
     def _on_signal(self, *args, **kwargs):
-        """Leave signals to the daemon."""
+        """Do nothing, because the daemon handles signals."""
 
     @handler("ready", override=True)
     def _on_ready(self, server, bind):
-        """Say nothing."""
+        """Do nothing, where the base class prints a message."""
 
 
 class WebServer(BaseComponent):
-    """Listens for HTTP requests and hands them to an application.
+    """Receives HTTP requests and passes them to an application.
 
     Parameters
     ==========
 
     bind : tuple of (str, int)
-        IP number and port.
+        IP number and port to listen on.
     application : callable
         Called with each :class:`IncomingRequest`.
     timers : Timers
-        For sweeping out connections that send too slowly.
+        Run the check that closes connections which send too slowly.
     limits : WebLimits
-        Bounds.
+        Limits of sizes, connections and times.
     on_too_large : callable, optional
-        Returns the body for a request that is over the bounds.
+        Returns the body of the response to a request that is too large.
     """
 
     channel = "web"
@@ -202,34 +203,40 @@
         self._timers = timers
         self._limits = limits
         self._on_too_large = on_too_large
-        self._active_by_socket: dict[socket.socket, IncomingRequest] = {}
-        self._stash_by_socket: dict[socket.socket, bytearray] = {}
-        self._progress_by_socket: dict[socket.socket, _Progress] = {}
-        self._base = _QuietServer(
+        self._active_request_by_socket: dict[
+            socket.socket, IncomingRequest
+        ] = {}
+        self._pipelined_by_socket: dict[socket.socket, bytearray] = {}
+        self._partial_by_socket: dict[socket.socket, _PartialRequest] = {}
+        self._http_server = _EmbeddedServer(
             bind, display_banner=False, bufsize=READ_BYTES
         ).register(self)
-        self._timers.call_every(SWEEP_SECONDS, self._sweep)
+        self._timers.call_every(
+            TIMEOUT_CHECK_SECONDS, self._close_slow_connections
+        )
 
     @property
     def address(self) -> tuple[str, int]:
-        """The IP number and port that it listens on."""
-        return self._base.host, self._base.port
+        """The IP number and port of the listening socket."""
+        return self._http_server.host, self._http_server.port
 
     @property
     def active(self) -> int:
-        """Number of requests whose answers have not wholly left yet."""
-        listener = self._base.server
+        """Number of connections with an active request or unsent bytes."""
+        listener = self._http_server.server
         return sum(
-            sock in self._active_by_socket or bool(listener._buffers.get(sock))
+            sock in self._active_request_by_socket
+            or bool(listener._buffers.get(sock))
             for sock in listener._clients
         )
 
     def refuse_new(self) -> None:
-        """Stop accepting connections; open ones go on.
+        """Stop accepting connections; established ones continue.
 
-        What waits is accepted: closing the listener would reset it.
+        Connections in the listener's backlog are accepted first, because
+        closing the listener would reset them.
         """
-        listener = self._base.server
+        listener = self._http_server.server
         if listener._sock is not None:
             count = -1
             while count < len(listener._clients):
@@ -239,9 +246,9 @@
             listener._sock.close()
             listener._sock = None
 
-    def write_now(self, sock: socket.socket, data: bytes) -> None:
-        """Send bytes at once if nothing is buffered, else in order."""
-        listener = self._base.server
+    def send_or_buffer(self, sock: socket.socket, data: bytes) -> None:
+        """Send bytes at once, or behind the data that is already buffered."""
+        listener = self._http_server.server
         if sock not in listener._clients:
             return
         if not listener._buffers[sock]:
@@ -258,50 +265,50 @@
         listener.write(sock, data)
 
     def unsent_bytes(self, sock: socket.socket) -> int:
-        """Return how many bytes wait to be sent."""
-        buffers = self._base.server._buffers
+        """Return the number of bytes in the socket's send buffer."""
+        buffers = self._http_server.server._buffers
         return sum(len(data) for data in buffers.get(sock, ()))
 
-    def release(self, incoming: IncomingRequest) -> None:
-        """Take note that a request is answered; serve what came after."""
+    def release_connection(self, incoming: IncomingRequest) -> None:
+        """End an answered request and process the bytes received after it."""
         sock = incoming.socket
-        self._active_by_socket.pop(sock, None)
-        stash = self._stash_by_socket.pop(sock, None)
-        if stash:
-            self.fire(events.read(sock, bytes(stash)), "web")
+        self._active_request_by_socket.pop(sock, None)
+        pipelined = self._pipelined_by_socket.pop(sock, None)
+        if pipelined:
+            self.fire(events.read(sock, bytes(pipelined)), "web")
 
-    # -- circuits' side -----------------------------------------------------
+    # -- handlers of circuits events ------------------------------------------
 
     @handler("connect", priority=1)
     def _on_connect(self, sock, *peer):
-        if len(self._base.server._clients) > self._limits.connections:
+        if len(self._http_server.server._clients) > self._limits.connections:
             self.fire(events.close(sock), "web")
 
     @handler("read", priority=2)
     def _on_read(self, event, sock, data):
-        if sock in self._active_by_socket:
-            # One request at a time on a connection: the next one waits.
+        if sock in self._active_request_by_socket:
+            # A connection has one active request; later bytes wait.
             event.stop()
-            stash = self._stash_by_socket.setdefault(sock, bytearray())
-            stash += data
-            if len(stash) > self._limits.body + self._limits.header:
+            pipelined = self._pipelined_by_socket.setdefault(sock, bytearray())
+            pipelined += data
+            if len(pipelined) > self._limits.body + self._limits.header:
                 self.fire(events.close(sock), "web")
             return
-        progress = self._progress_by_socket.get(sock)
-        if progress is None:
-            progress = _Progress(self._timers.now())
-            self._progress_by_socket[sock] = progress
-        progress.data += data
-        if len(progress.data) > self._limits.body + self._limits.header:
+        partial = self._partial_by_socket.get(sock)
+        if partial is None:
+            partial = _PartialRequest(self._timers.now())
+            self._partial_by_socket[sock] = partial
+        partial.data += data
+        if len(partial.data) > self._limits.body + self._limits.header:
             event.stop()
-            self._refuse_size(sock)
+            self._reject_too_large(sock)
 
     @handler("disconnect", priority=1)
     def _on_disconnect(self, sock):
-        self._progress_by_socket.pop(sock, None)
-        self._stash_by_socket.pop(sock, None)
-        self._base.http._buffers.pop(sock, None)
-        incoming = self._active_by_socket.pop(sock, None)
+        self._partial_by_socket.pop(sock, None)
+        self._pipelined_by_socket.pop(sock, None)
+        self._http_server.http._buffers.pop(sock, None)
+        incoming = self._active_request_by_socket.pop(sock, None)
         if incoming is None:
             return
         incoming.gone = True
@@ -312,40 +319,40 @@
     def _on_request(self, event, request, response, *peer_certificate):
         event.stop()
         incoming = IncomingRequest(self, request, response)
-        progress = self._progress_by_socket.pop(request.sock, None)
-        self._active_by_socket[request.sock] = incoming
-        if progress is not None and not incoming.header("Transfer-Encoding"):
-            # circuits.web takes what came in one packet with a request for
-            # a part of its body.
+        partial = self._partial_by_socket.pop(request.sock, None)
+        self._active_request_by_socket[request.sock] = incoming
+        if partial is not None and not incoming.header("Transfer-Encoding"):
+            # circuits.web counts all bytes that it received together with a
+            # request as its body, including those of the next request.
             length = int(incoming.header("Content-Length", "0"))
             incoming.body = incoming.body[:length]
-            rest = progress.beyond(length)
-            if rest:
-                self._stash_by_socket[request.sock] = rest
+            next_request = partial.bytes_after_body(length)
+            if next_request:
+                self._pipelined_by_socket[request.sock] = next_request
         try:
             self._application(incoming)
         except Exception:
-            LOG.exception("a request's handler failed")
+            LOG.exception("request handler raised an exception")
             incoming.respond_json(500, {"reason": "internal"})
         return True
 
-    # -- own ------------------------------------------------------------------
+    # -- size and time limits -------------------------------------------------
 
-    def _refuse_size(self, sock: socket.socket) -> None:
-        self._progress_by_socket.pop(sock, None)
-        self._base.http._buffers.pop(sock, None)
+    def _reject_too_large(self, sock: socket.socket) -> None:
+        self._partial_by_socket.pop(sock, None)
+        self._http_server.http._buffers.pop(sock, None)
         body = self._on_too_large()
         head = (
             "HTTP/1.1 413 Content Too Large\r\n"
             "Content-Type: application/json\r\nConnection: close\r\n"
             f"Content-Length: {len(body)}\r\n\r\n"
         )
-        self.write_now(sock, head.encode() + body)
+        self.send_or_buffer(sock, head.encode() + body)
         self.fire(events.close(sock), "web")
 
-    def _sweep(self) -> None:
-        """Close connections that take too long to send their request."""
-        oldest = self._timers.now() - self._limits.request_seconds
-        for sock, progress in list(self._progress_by_socket.items()):
-            if progress.since < oldest:
+    def _close_slow_connections(self) -> None:
+        """Close connections that have not sent their request in time."""
+        earliest_start = self._timers.now() - self._limits.request_seconds
+        for sock, partial in list(self._partial_by_socket.items()):
+            if partial.since < earliest_start:
                 self.fire(events.close(sock), "web")
--- a/postspring/web/tests/test_stop.py
+++ b/postspring/web/tests/test_stop.py
@@ -1,8 +1,8 @@
-"""The product's own web server while its VM stops.
+"""Tests of the web server during a graceful shutdown.
 
-By reading: the faults that a stop of the users' VMs had are here as well.  A
-request that waited to be accepted was reset, and a VM took "no request is
-under way" for "every answer has left".  Proof: these tests.
+They guard against two failures: closing the listener resets connections
+that wait to be accepted, and a VM that stops once no request is active cuts
+off responses that are still in send buffers.
 """
 
 import socket
@@ -14,12 +14,12 @@
 from postspring import transport
 from postspring import web
 
-LONG_ANSWER_BYTES = 16_000_000
+LARGE_RESPONSE_BYTES = 16_000_000
 REQUEST = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-class StopTest(unittest.TestCase):
-    """A server whose loop is turned by hand."""
+class ShutdownTest(unittest.TestCase):
+    """A server whose event loop the test runs step by step."""
 
     def setUp(self):
         self.root = BaseComponent()
@@ -30,34 +30,34 @@
             ("127.0.0.1", 0), self.requests.append, timers
         ).register(self.root)
         self.root._running = True
-        self.turn()
+        self.run_loop()
         self.caller = socket.create_connection(self.web.address)
         self.addCleanup(self.caller.close)
         self.caller.settimeout(10)
 
-    def turn(self, count=20):
-        """Turn the loop some times."""
+    def run_loop(self, count=20):
+        """Run ``count`` iterations of the event loop."""
         for _ in range(count):
             self.root.tick(timeout=0.01)
 
-    def test_what_waits_to_be_accepted_is_served(self):
+    def test_connection_in_backlog_is_served(self):
         self.caller.sendall(REQUEST)
         self.web.refuse_new()
-        self.turn()
+        self.run_loop()
         self.assertEqual(1, len(self.requests))
         self.requests[0].respond(200, b"hi")
-        self.turn()
+        self.run_loop()
         self.assertIn(b"200", self.caller.recv(1000))
 
-    def test_an_answer_that_has_not_left_is_under_way(self):
+    def test_unsent_response_counts_as_active(self):
         self.caller.sendall(REQUEST)
-        self.turn()
-        self.requests[0].respond(200, b"x" * LONG_ANSWER_BYTES)
-        self.turn()
+        self.run_loop()
+        self.requests[0].respond(200, b"x" * LARGE_RESPONSE_BYTES)
+        self.run_loop()
         self.assertTrue(self.web.active)
-        left = LONG_ANSWER_BYTES
-        while left > 0:
-            left -= len(self.caller.recv(1 << 20))
-            self.turn(1)
-        self.turn()
+        remaining = LARGE_RESPONSE_BYTES
+        while remaining > 0:
+            remaining -= len(self.caller.recv(1 << 20))
+            self.run_loop(1)
+        self.run_loop()
         self.assertFalse(self.web.active)
