--- a/postspring/web/server.py
+++ b/postspring/web/server.py
@@ -114,7 +114,7 @@
         response.stream = True
         response.headers["Content-Type"] = content_type
         response.headers["Cache-Control"] = "no-store"
-        # circuits.web uses the chunked encoding if the body is a generator.
+        # A generator has no length; circuits.web then chunks on HTTP/1.1.
         response.body = (part for part in ())
         response.prepare()
         self._server.send_or_buffer(
