--- a/examples/demo_program.py
+++ b/examples/demo_program.py
@@ -96,7 +96,9 @@
         "advisor", "The striking train has seized.", words.append
     )
     print(f"turn 1, model, {len(words)} pieces streamed from {first.upstream}")
-    order = program.use_tool("parts-order", {"part": "fly spring", "count": 1})
+    order = program.call_tool(
+        "parts-order", {"part": "fly spring", "count": 1}
+    )
     print(f"turn 2, tool: {order.answer['receipt']}")
     agent = program.spawn("agentes")
     agent.ask("advisor", "Which alloy was the bell cast from?")
--- a/postspring/client/__init__.py
+++ b/postspring/client/__init__.py
@@ -1,6 +1,6 @@
 """Blocking clients for callers and operators; they need no event loop."""
 
-from postspring.client.commander import Commander
+from postspring.client.command_client import CommandClient
 from postspring.client.connection import EntryClient
 from postspring.client.connection import EntryResponse
 from postspring.client.connection import RefusedError
@@ -11,7 +11,7 @@
 
 __all__ = [
     "CallResult",
-    "Commander",
+    "CommandClient",
     "ConfigurationPublisher",
     "EntryClient",
     "EntryResponse",
--- a/postspring/client/commander.py
+++ b/postspring/client/command_client.py
@@ -7,12 +7,12 @@
 
 from postspring import errors
 
-__all__ = ["Commander"]
+__all__ = ["CommandClient"]
 
 TIMEOUT_SECONDS = 30.0
 
 
-class Commander:
+class CommandClient:
     """Runs queries and commands on the first entry VM that responds.
 
     Parameters
--- a/postspring/client/program.py
+++ b/postspring/client/program.py
@@ -62,7 +62,7 @@
         client = EntryClient(["10.0.0.1:8080", "10.0.0.2:8080"])
         program = ProgramClient.create(client, "agent-models")
         print(program.ask("advisor", "The belt is torn.").answer["content"])
-        program.use_tool("parts", {"part": "belt"})
+        program.call_tool("parts", {"part": "belt"})
         program.end()
     """
 
@@ -134,7 +134,7 @@
         )
         return self._record_turn(turn)
 
-    def use_tool(
+    def call_tool(
         self,
         tool: str,
         arguments: Any,
--- a/postspring/client/publisher.py
+++ b/postspring/client/publisher.py
@@ -87,7 +87,7 @@
             return state.version
         if expected_version is None:
             expected_version = state.version
-        record = configuration.Publish(
+        record = configuration.PublishRecord(
             change_id=change_id,
             expected_version=expected_version,
             version=expected_version + 1,
@@ -100,7 +100,7 @@
 
     def _check_published(self, change_id: str, version: int) -> int:
         fold = self.read()
-        if fold.counted_change(change_id):
+        if fold.is_change_accepted(change_id):
             return version
         raise configuration.PublishConflictError(
             f"not published: version {fold.state.version} by "
--- a/postspring/command/__init__.py
+++ b/postspring/command/__init__.py
@@ -5,9 +5,9 @@
 from postspring.command.formats import format_table
 from postspring.command.grammar import parse
 from postspring.command.statements import Aggregate
-from postspring.command.statements import Cancel
+from postspring.command.statements import CancelProgram
 from postspring.command.statements import Comparison
-from postspring.command.statements import DeclareLost
+from postspring.command.statements import DeclareDataCenter
 from postspring.command.statements import Drain
 from postspring.command.statements import EngineOrder
 from postspring.command.statements import Query
@@ -17,9 +17,9 @@
 
 __all__ = [
     "Aggregate",
-    "Cancel",
+    "CancelProgram",
     "Comparison",
-    "DeclareLost",
+    "DeclareDataCenter",
     "Drain",
     "EngineOrder",
     "Query",
--- a/postspring/command/grammar.py
+++ b/postspring/command/grammar.py
@@ -152,7 +152,7 @@
         )
 
     def cancel(self, children):
-        return statements.Cancel(str(children[0]))
+        return statements.CancelProgram(str(children[0]))
 
     def load(self, children):
         kind, name, engine = children
@@ -170,7 +170,7 @@
     def declare(self, children):
         data_center, state = children
         lost = str(state).lower() == "lost"
-        return statements.DeclareLost(str(data_center), lost)
+        return statements.DeclareDataCenter(str(data_center), lost)
 
 
 _PARSER = lark.Lark(GRAMMAR, parser="earley", maybe_placeholders=True)
--- a/postspring/command/statements.py
+++ b/postspring/command/statements.py
@@ -4,9 +4,9 @@
 
 __all__ = [
     "Aggregate",
-    "Cancel",
+    "CancelProgram",
     "Comparison",
-    "DeclareLost",
+    "DeclareDataCenter",
     "Drain",
     "EngineOrder",
     "Query",
@@ -86,7 +86,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelProgram:
     """``cancel program``: cancel a program by its id."""
 
     program: str
@@ -106,11 +106,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DeclareLost:
+class DeclareDataCenter:
     """``declare``: mark a data centre as lost, or as back."""
 
     data_center: str
     lost: bool
 
 
-Statement = Query | Drain | SetField | Cancel | EngineOrder | DeclareLost
+Statement = (
+    Query | Drain | SetField | CancelProgram | EngineOrder | DeclareDataCenter
+)
--- a/postspring/configuration/__init__.py
+++ b/postspring/configuration/__init__.py
@@ -3,8 +3,8 @@
 from postspring.configuration.fold import configuration_records
 from postspring.configuration.fold import ConfigurationFold
 from postspring.configuration.fold import ConfigurationState
-from postspring.configuration.fold import Publish
 from postspring.configuration.fold import PublishConflictError
+from postspring.configuration.fold import PublishRecord
 from postspring.configuration.fold import PublishVerdict
 from postspring.configuration.schema import Configuration
 from postspring.configuration.schema import Model
@@ -20,8 +20,8 @@
     "ConfigurationFold",
     "ConfigurationState",
     "Model",
-    "Publish",
     "PublishConflictError",
+    "PublishRecord",
     "PublishVerdict",
     "Service",
     "Tool",
--- a/postspring/configuration/fold.py
+++ b/postspring/configuration/fold.py
@@ -11,8 +11,8 @@
 __all__ = [
     "ConfigurationFold",
     "ConfigurationState",
-    "Publish",
     "PublishConflictError",
+    "PublishRecord",
     "PublishVerdict",
     "configuration_records",
 ]
@@ -23,7 +23,7 @@
 
 @configuration_records.register("publish")
 @codec.message()
-class Publish:
+class PublishRecord:
     """A record that publishes a document, or repeats the one in force.
 
     The document in force is carried forward: a new record repeats it, so
@@ -110,12 +110,12 @@
     ========
 
     >>> fold = ConfigurationFold()
-    >>> first = Publish(
+    >>> first = PublishRecord(
     ...     change_id="a", expected_version=0, version=1, document=b"{}"
     ... )
     >>> fold.apply(0, first).value
     'counted'
-    >>> rival = Publish(
+    >>> rival = PublishRecord(
     ...     change_id="b", expected_version=0, version=1, document=b"{}"
     ... )
     >>> fold.apply(1, rival).value
@@ -127,7 +127,7 @@
         self.next_offset = 0
         self._base_offset = 0
         self._has_base = True
-        self._unchecked_records: list[tuple[int, Publish]] = []
+        self._unchecked_records: list[tuple[int, PublishRecord]] = []
         self._accepted_change_ids: collections.deque[str] = collections.deque(
             maxlen=MAX_ACCEPTED_CHANGE_IDS
         )
@@ -140,7 +140,7 @@
         """
         return self._has_base
 
-    def counted_change(self, change_id: str) -> bool:
+    def is_change_accepted(self, change_id: str) -> bool:
         """Return whether the change is among the latest accepted ones.
 
         Only the latest ``MAX_ACCEPTED_CHANGE_IDS`` records are remembered.
@@ -161,7 +161,7 @@
         """Skip an entry at ``offset`` that can't be decoded."""
         self.next_offset = offset + 1
 
-    def apply(self, offset: int, record: Publish) -> PublishVerdict:
+    def apply(self, offset: int, record: PublishRecord) -> PublishVerdict:
         """Check the record at ``offset`` and put it in force if accepted.
 
         Raises
@@ -174,13 +174,13 @@
             raise ValueError(f"offset {offset} was already applied or skipped")
         self.next_offset = offset + 1
         if self._has_base:
-            return self._judge(offset, record)
+            return self._check_and_apply(offset, record)
         if not record.carries_forward or record.as_of < self._base_offset:
             self._unchecked_records.append((offset, record))
             return PublishVerdict.NO_BASE
         return self._put_base_in_force(offset, record)
 
-    def adopt(self, offset: int, record: Publish) -> PublishVerdict:
+    def adopt(self, offset: int, record: PublishRecord) -> PublishVerdict:
         """Put in force a record that a peer's fold has accepted.
 
         The peer has checked it against the records before it in the log,
@@ -201,7 +201,9 @@
             self._unchecked_records.clear()
         return verdict
 
-    def _put_base_in_force(self, offset: int, base: Publish) -> PublishVerdict:
+    def _put_base_in_force(
+        self, offset: int, base: PublishRecord
+    ) -> PublishVerdict:
         """Put a base in force and check the records from ``as_of`` on."""
         since_base = [
             (record_offset, record)
@@ -212,11 +214,13 @@
         self._has_base = True
         verdict = self._put_in_force(base.as_of - 1, base)
         for record_offset, record in since_base:
-            self._judge(record_offset, record)
-        self._judge(offset, base)
+            self._check_and_apply(record_offset, record)
+        self._check_and_apply(offset, base)
         return verdict
 
-    def _judge(self, offset: int, record: Publish) -> PublishVerdict:
+    def _check_and_apply(
+        self, offset: int, record: PublishRecord
+    ) -> PublishVerdict:
         if (
             record.change_id in self._accepted_change_ids
             and not record.carries_forward
@@ -232,7 +236,9 @@
             return PublishVerdict.WRONG_VERSION
         return self._put_in_force(offset, record)
 
-    def _put_in_force(self, offset: int, record: Publish) -> PublishVerdict:
+    def _put_in_force(
+        self, offset: int, record: PublishRecord
+    ) -> PublishVerdict:
         try:
             parsed = schema.parse_configuration(record.document)
         except errors.ConfigurationError:
--- a/postspring/configuration/tests/test_fold.py
+++ b/postspring/configuration/tests/test_fold.py
@@ -9,7 +9,7 @@
 
 def publish(change, expected, version=None, document=b"{}", as_of=0):
     """Return a record that publishes a document."""
-    return configuration.Publish(
+    return configuration.PublishRecord(
         change_id=change,
         expected_version=expected,
         version=expected + 1 if version is None else version,
--- a/postspring/coordination/__init__.py
+++ b/postspring/coordination/__init__.py
@@ -2,12 +2,12 @@
 
 from postspring.coordination.effects import Append
 from postspring.coordination.effects import CancelAttempt
-from postspring.coordination.effects import CopyTurn
 from postspring.coordination.effects import Effect
 from postspring.coordination.effects import ReleaseCache
+from postspring.coordination.effects import ReplicateTurn
 from postspring.coordination.effects import Reply
 from postspring.coordination.effects import ReplyTo
-from postspring.coordination.effects import Run
+from postspring.coordination.effects import RunAttempt
 from postspring.coordination.limits import OwnerLimits
 from postspring.coordination.messages import CallAnswered
 from postspring.coordination.messages import CallProgram
@@ -33,7 +33,6 @@
     "CallAnswered",
     "CallProgram",
     "CancelAttempt",
-    "CopyTurn",
     "CreateProgram",
     "Effect",
     "EndProgram",
@@ -51,9 +50,10 @@
     "RefusalReason",
     "Refused",
     "ReleaseCache",
+    "ReplicateTurn",
     "Reply",
     "ReplyTo",
-    "Run",
+    "RunAttempt",
     "answered_turn",
     "owner_messages",
 ]
--- a/postspring/coordination/admission.py
+++ b/postspring/coordination/admission.py
@@ -1,8 +1,8 @@
 """Admission control: which calls an owner accepts."""
 
 from postspring import configuration
-from postspring.coordination import desk
 from postspring.coordination import messages
+from postspring.coordination import owner_context
 from postspring.coordination import pricing
 from postspring.coordination import refusals
 from postspring.coordination import runtime
@@ -23,8 +23,8 @@
         State that the parts of the owner share.
     """
 
-    def __init__(self, context: desk.OwnerContext):
-        self._desk = context
+    def __init__(self, context: owner_context.OwnerContext):
+        self._context = context
 
     def refusal_reason(
         self, state: runtime.ProgramRuntime, message: messages.CallProgram
@@ -36,21 +36,21 @@
             return Reason.PROGRAM_ENDED
         if message.service not in ("", program.service):
             return Reason.NOT_PERMITTED
-        if message.step > tip.step + 1 + self._desk.limits.queue_window:
+        if message.step > tip.step + 1 + self._context.limits.queue_window:
             return Reason.STEP_GAP
         follows = message.step == tip.step + 1
         if follows and message.parent not in (None, tip.digest):
             return Reason.PARENT_MISMATCH
-        if self._desk.held_bytes > self._desk.limits.max_held_bytes:
+        if self._context.held_bytes > self._context.limits.max_held_bytes:
             return Reason.HELD_TURNS_FULL
-        service = self._desk.configuration.services.get(program.service)
+        service = self._context.configuration.services.get(program.service)
         if service is None:
             return Reason.UNKNOWN_SERVICE
         if message.step > service.max_calls:
             return Reason.TOO_MANY_CALLS
         if not self._permitted(service, message):
             return Reason.UNKNOWN_TARGET
-        if self._desk.pool.full(message.target):
+        if self._context.pool.is_full(message.target):
             return Reason.OVERLOADED
         return None
 
@@ -90,12 +90,12 @@
         """Set the call's cost bound; return the reason to refuse, or None."""
         message = call.message
         if message.kind is programs.CallKind.TOOL:
-            call.cost_bound = self._desk.configuration.tools[
+            call.cost_bound = self._context.configuration.tools[
                 message.target
             ].price
         if message.kind is not programs.CallKind.MODEL:
             return None
-        model = self._desk.configuration.models[message.target]
+        model = self._context.configuration.models[message.target]
         tokens = pricing.prompt_token_bound(state.turns, message.request)
         max_tokens = self.max_tokens(message)
         if tokens + max_tokens > model.context_tokens:
@@ -105,12 +105,12 @@
 
     def max_tokens(self, message: messages.CallProgram) -> int:
         """Return the upper bound of the tokens that a call generates."""
-        model = self._desk.configuration.models[message.target]
+        model = self._context.configuration.models[message.target]
         return min(message.max_tokens or model.max_tokens, model.max_tokens)
 
     def repeatable(self, message: messages.CallProgram) -> bool:
         """Return whether the call may be dispatched twice."""
         if message.kind is programs.CallKind.TOOL:
-            tool = self._desk.configuration.tools[message.target]
+            tool = self._context.configuration.tools[message.target]
             return message.repeatable and tool.repeatable
         return message.repeatable
--- a/postspring/coordination/attempt_flow.py
+++ b/postspring/coordination/attempt_flow.py
@@ -4,9 +4,9 @@
 import itertools
 from typing import Any
 
-from postspring.coordination import desk
 from postspring.coordination import effects
 from postspring.coordination import messages
+from postspring.coordination import owner_context
 from postspring.coordination import refusals
 from postspring.coordination import runtime
 from postspring.coordination import turns
@@ -31,8 +31,8 @@
         State that the parts of the owner share.
     """
 
-    def __init__(self, context: desk.OwnerContext):
-        self._desk = context
+    def __init__(self, context: owner_context.OwnerContext):
+        self._context = context
         self._attempt_numbers = itertools.count(1)
 
     def submit(
@@ -41,9 +41,9 @@
         """Queue a call for an upstream; its cost is already reserved."""
         call.enter(CallState.WAITING, now)
         if call.attempt_count == 0:
-            self._desk.retry_budget.deposit()
-        self._desk.pool.submit(
-            scheduling.Ticket(
+            self._context.retry_budget.deposit()
+        self._context.pool.submit(
+            scheduling.WaitingCall(
                 key=state.program.id,
                 target=call.message.target,
                 priority=state.program.priority,
@@ -63,10 +63,12 @@
 
     def assign(self, now: float) -> None:
         """Grant attempts to the calls that the pool assigns."""
-        for assignment in self._desk.pool.assign(now):
-            state = self._desk.runtime_by_program.get(assignment.ticket.key)
+        for assignment in self._context.pool.assign(now):
+            state = self._context.runtime_by_program.get(
+                assignment.waiting_call.key
+            )
             if state is None or state.active is None:
-                self._desk.pool.release(
+                self._context.pool.release(
                     assignment.upstream.id, failed=False, now=now
                 )
                 continue
@@ -83,17 +85,17 @@
         call.attempt_count += 1
         call.upstream = upstream.id
         if call.message.kind is programs.CallKind.MODEL:
-            engines = self._desk.engines_by_program
+            engines = self._context.engines_by_program
             engines.setdefault(state.program.id, set()).add(upstream.id)
         call.enter(CallState.RUNNING, now)
         grant = self._build_grant(state, call, upstream)
         runner = self._choose_runner(call)
-        call.runner = self._desk.vm if runner is None else runner.vm
+        call.runner = self._context.vm if runner is None else runner.vm
         if runner is None:
-            self._desk.effects.append(effects.Run(grant))
+            self._context.effects.append(effects.RunAttempt(grant))
         else:
             call.waiters.remove(runner)
-            self._desk.reply(runner, grant)
+            self._context.reply(runner, grant)
 
     def _choose_runner(self, call: runtime.Call) -> effects.ReplyTo | None:
         """Return the waiter that runs the attempt, None for this VM.
@@ -110,7 +112,7 @@
         self, state: runtime.ProgramRuntime, call: runtime.Call, upstream: Any
     ) -> messages.Grant:
         message = call.message
-        slot = self._desk.slot_of(state.program.id)
+        slot = self._context.slot_of(state.program.id)
         tip = state.tip
         epoch, sequence = call.intent or (None, None)
         fields = self._grant_fields(state, message)
@@ -137,12 +139,12 @@
     def _grant_fields(
         self, state: runtime.ProgramRuntime, message: messages.CallProgram
     ) -> dict[str, Any]:
-        service = self._desk.configuration.services[state.program.service]
+        service = self._context.configuration.services[state.program.service]
         if message.kind is programs.CallKind.MODEL:
-            model = self._desk.configuration.models[message.target]
+            model = self._context.configuration.models[message.target]
             return {
                 "prompt": turns.build_prompt(state.turns, message.request),
-                "max_tokens": self._desk.admission.max_tokens(message),
+                "max_tokens": self._context.admission.max_tokens(message),
                 "prompt_price": model.prompt_price,
                 "completion_price": model.completion_price,
                 "timeout_ms": int(service.call_timeout_seconds * 1000),
@@ -150,7 +152,7 @@
         seconds = service.call_timeout_seconds
         price = 0
         if message.kind is programs.CallKind.TOOL:
-            tool = self._desk.configuration.tools[message.target]
+            tool = self._context.configuration.tools[message.target]
             seconds = tool.timeout_seconds
             price = tool.price
         return {
@@ -165,24 +167,24 @@
     ) -> None:
         """Record an attempt's turn, even one that a former owner granted."""
         turn = message.turn
-        slot = self._desk.slot_of(turn.program)
-        state = self._desk.state_of(turn.program)
+        slot = self._context.slot_of(turn.program)
+        state = self._context.state_of(turn.program)
         if state is None:
-            return self._desk.reply_not_owner(slot, to)
+            return self._context.reply_not_owner(slot, to)
         call = self._running_call(message.attempt, state)
         if call is not None:
             self.release_upstream(call)
             state.active = None
-            self._desk.turns.commit(
+            self._context.turns.commit(
                 state,
                 self._with_top_up(state, call, turn),
                 [to, *call.waiters],
                 now,
             )
-            return self._desk.calls.advance(state, now)
-        if not self._desk.turns.adopt(state, turn, now):
-            return self._desk.refuse(to, Reason.SUPERSEDED, ran=Ran.UNKNOWN)
-        self._desk.turns.answer(state, turn, to)
+            return self._context.calls.advance(state, now)
+        if not self._context.turns.adopt(state, turn, now):
+            return self._context.refuse(to, Reason.SUPERSEDED, ran=Ran.UNKNOWN)
+        self._context.turns.answer(state, turn, to)
 
     def _with_top_up(
         self,
@@ -191,7 +193,9 @@
         turn: ownership.Turn,
     ) -> ownership.Turn:
         """Return the turn with a reservation for further calls added."""
-        service = self._desk.configuration.services.get(state.program.service)
+        service = self._context.configuration.services.get(
+            state.program.service
+        )
         if call.intent is not None or service is None:
             return turn
         remaining = state.available_allowance - turn.cost
@@ -213,26 +217,26 @@
                 state.lost_cost += call.cost_bound
         else:
             call.abandoned = True
-            self._desk.pool.withdraw(call.message.target, state.program.id)
+            self._context.pool.withdraw(call.message.target, state.program.id)
         state.active = None
 
     def lose(
         self, message: messages.LoseAttempt, to: effects.ReplyTo, now: float
     ) -> None:
         """Handle the report of a failed attempt."""
-        state = self._desk.state_of(message.program)
+        state = self._context.state_of(message.program)
         if state is None:
-            slot = self._desk.slot_of(message.program)
-            return self._desk.reply_not_owner(slot, to)
+            slot = self._context.slot_of(message.program)
+            return self._context.reply_not_owner(slot, to)
         call = self._running_call(message.attempt, state)
         if call is None:
             turn = state.turn_at(message.step)
             if turn is not None:
-                return self._desk.turns.answer(state, turn, to)
+                return self._context.turns.answer(state, turn, to)
             reason = Reason.SUPERSEDED
             if not state.program.live:
                 reason = Reason.PROGRAM_ENDED
-            return self._desk.refuse(to, reason, ran=Ran.UNKNOWN)
+            return self._context.refuse(to, reason, ran=Ran.UNKNOWN)
         call.waiters.insert(0, to)
         self.attempt_lost(state, call, message.sent, "upstream_failed", now)
 
@@ -255,45 +259,47 @@
             state.lost_cost += call.cost_bound
         if not call.waiters and call.intent is None:
             state.active = None
-            return self._desk.calls.advance(state, now)
+            return self._context.calls.advance(state, now)
         if not self._may_retry(state, call, now):
             if call.intent is not None:
                 self.append_abort(state, call)
-            return self._desk.refuse_active(
+            return self._context.refuse_active(
                 state, call, Reason.UPSTREAM_FAILED
             )
-        self._desk.retries_by_reason[reason] += 1
+        self._context.retries_by_reason[reason] += 1
         shortfall = call.cost_bound - state.available_allowance
         if call.intent is not None or shortfall <= 0:
             return self.submit(state, call, now)
-        self._desk.calls.append_reserve(state, call, shortfall, now)
+        self._context.calls.append_reserve(state, call, shortfall, now)
 
     def _may_retry(
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
     ) -> bool:
         if (
-            call.attempt_count >= self._desk.limits.max_attempts
+            call.attempt_count >= self._context.limits.max_attempts
             or now >= call.deadline
         ):
             return False
-        if not self._desk.pool.usable(call.message.target, now):
+        if not self._context.pool.has_usable_upstream(
+            call.message.target, now
+        ):
             return False
         untried = [
             upstream
-            for upstream in self._desk.pool.upstream_by_id.values()
+            for upstream in self._context.pool.upstream_by_id.values()
             if call.message.target in upstream.serves
             and upstream.id not in call.excluded
         ]
         if not untried:
             call.excluded = frozenset()
-        return self._desk.retry_budget.take()
+        return self._context.retry_budget.take()
 
     def _record_unknown(
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
     ) -> None:
-        slot = self._desk.slot_of(state.program.id)
+        slot = self._context.slot_of(state.program.id)
         if state.program.open_intent is None:
-            return self._desk.refuse_active(state, call, Reason.SUPERSEDED)
+            return self._context.refuse_active(state, call, Reason.SUPERSEDED)
         turn = turns.abandoned_intent_turn(
             slot, state.program, call.message.request
         )
@@ -304,16 +310,16 @@
             upstream=call.upstream,
         )
         state.active = None
-        self._desk.turns.commit(state, turn, call.waiters, now)
-        self._desk.calls.advance(state, now)
+        self._context.turns.commit(state, turn, call.waiters, now)
+        self._context.calls.advance(state, now)
 
     def append_abort(
         self, state: runtime.ProgramRuntime, call: runtime.Call
     ) -> None:
         """Append that the call of an intent is never dispatched."""
-        self._desk.append(
+        self._context.append(
             ownership.Abort,
-            self._desk.slot_of(state.program.id).number,
+            self._context.slot_of(state.program.id).number,
             program=state.program.id,
             intent_sequence=call.intent[1],
         )
@@ -333,4 +339,4 @@
 
         ``now`` is needed only for a failed attempt.
         """
-        self._desk.pool.release(call.upstream, failed=failed, now=now)
+        self._context.pool.release(call.upstream, failed=failed, now=now)
--- a/postspring/coordination/call_flow.py
+++ b/postspring/coordination/call_flow.py
@@ -1,9 +1,9 @@
 """Calls at their owner: arrival, queueing, intents and reservations."""
 
-from postspring.coordination import desk
 from postspring.coordination import effects
 from postspring.coordination import limits
 from postspring.coordination import messages
+from postspring.coordination import owner_context
 from postspring.coordination import refusals
 from postspring.coordination import runtime
 from postspring.coordination import turns
@@ -27,31 +27,31 @@
         State that the parts of the owner share.
     """
 
-    def __init__(self, context: desk.OwnerContext):
-        self._desk = context
+    def __init__(self, context: owner_context.OwnerContext):
+        self._context = context
 
     def handle_call(
         self, message: messages.CallProgram, to: effects.ReplyTo, now: float
     ) -> None:
         """Answer a call from history, refuse it, or queue it."""
-        state = self._desk.find_or_refuse(message.program, to)
+        state = self._context.find_or_refuse(message.program, to)
         if state is None:
             return
-        self._desk.active_at_by_program[message.program] = now
+        self._context.active_at_by_program[message.program] = now
         for receipt in message.receipts:
-            self._desk.turns.adopt(state, receipt, now)
+            self._context.turns.adopt(state, receipt, now)
         if self._answer_from_history(state, message, to, now):
             return
-        reason = self._desk.admission.refusal_reason(state, message)
-        if reason is Reason.TOO_MANY_CALLS and self._desk.log_up:
-            self._desk.lifecycle.append_end(
+        reason = self._context.admission.refusal_reason(state, message)
+        if reason is Reason.TOO_MANY_CALLS and self._context.log_up:
+            self._context.lifecycle.append_end(
                 state, programs.EndReason.TOO_MANY_CALLS, None
             )
         if reason is not None:
-            return self._desk.refuse(
+            return self._context.refuse(
                 to,
                 reason,
-                self._desk.admission.ran_before(state, message),
+                self._context.admission.ran_before(state, message),
                 limits.retry_after_ms(reason),
             )
         if self._join(state, message, to):
@@ -74,9 +74,9 @@
             turn = state.turn_with_key(message.key)
             if turn is not None:
                 if turn.request_digest != message.digest:
-                    self._desk.refuse(to, Reason.KEY_REUSED)
+                    self._context.refuse(to, Reason.KEY_REUSED)
                 else:
-                    self._desk.turns.answer(state, turn, to)
+                    self._context.turns.answer(state, turn, to)
                 return True
         turn = state.turn_at(message.step)
         if turn is None:
@@ -84,9 +84,9 @@
         same_parent = message.parent in (None, turn.parent)
         same_key = not message.key or message.key == turn.key
         if turn.request_digest == message.digest and same_parent and same_key:
-            self._desk.turns.answer(state, turn, to)
+            self._context.turns.answer(state, turn, to)
         else:
-            self._desk.refuse(to, Reason.STEP_CONFLICT)
+            self._context.refuse(to, Reason.STEP_CONFLICT)
         return True
 
     def _join(
@@ -104,9 +104,9 @@
             return False
         same_key = call.message.key == message.key
         if call.abandoned:
-            self._desk.refuse_log_unavailable(to)
+            self._context.refuse_log_unavailable(to)
         elif call.message.digest != message.digest or not same_key:
-            self._desk.refuse(to, Reason.STEP_CONFLICT)
+            self._context.refuse(to, Reason.STEP_CONFLICT)
         else:
             call.waiters.append(to)
         return True
@@ -120,7 +120,7 @@
             return
         del state.queue_by_step[call.message.step]
         if call.message.parent not in (None, state.tip.digest):
-            return self._desk.refuse_waiters(call, Reason.PARENT_MISMATCH)
+            return self._context.refuse_waiters(call, Reason.PARENT_MISMATCH)
         state.active = call
         self._start(state, call, now)
 
@@ -135,11 +135,11 @@
         intent = state.program.open_intent
         if intent is None or state.pending:
             return intent is None
-        slot = self._desk.slot_of(state.program.id)
+        slot = self._context.slot_of(state.program.id)
         if intent.epoch == slot.epoch:
             return False
-        claimed_at = self._desk.claimed_at_by_slot.get(slot.number, 0.0)
-        if now < claimed_at + self._desk.limits.outcome_grace:
+        claimed_at = self._context.claimed_at_by_slot.get(slot.number, 0.0)
+        if now < claimed_at + self._context.limits.outcome_grace:
             return False
         same_request = call.message.digest == intent.request_digest
         turn = turns.abandoned_intent_turn(
@@ -151,10 +151,10 @@
         if same_request and call.message.key == intent.key:
             waiters = call.waiters
             del state.queue_by_step[call.message.step]
-        self._desk.turns.commit(state, turn, waiters, now)
+        self._context.turns.commit(state, turn, waiters, now)
         if call.message.step in state.queue_by_step:
             del state.queue_by_step[call.message.step]
-            self._desk.refuse_waiters(call, Reason.STEP_CONFLICT)
+            self._context.refuse_waiters(call, Reason.STEP_CONFLICT)
         return False
 
     def _start(
@@ -162,34 +162,34 @@
     ) -> None:
         """Log the call's intent or reservation, then queue it."""
         message = call.message
-        reason = self._desk.admission.set_cost_bound(state, call)
+        reason = self._context.admission.set_cost_bound(state, call)
         if reason is not None:
-            return self._desk.refuse_active(state, call, reason)
-        if not self._desk.pool.usable(message.target, now):
-            return self._desk.refuse_active(state, call, Reason.NO_UPSTREAM)
-        if not self._desk.admission.repeatable(message):
-            return self._log_intent(state, call, now)
+            return self._context.refuse_active(state, call, reason)
+        if not self._context.pool.has_usable_upstream(message.target, now):
+            return self._context.refuse_active(state, call, Reason.NO_UPSTREAM)
+        if not self._context.admission.repeatable(message):
+            return self._append_intent(state, call, now)
         shortfall = call.cost_bound - state.available_allowance
         if shortfall <= 0:
-            return self._desk.attempts.submit(state, call, now)
+            return self._context.attempts.submit(state, call, now)
         self.append_reserve(state, call, shortfall, now)
 
-    def _log_intent(
+    def _append_intent(
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
     ) -> None:
         if not self._check_reservation(state, call, call.cost_bound):
             return
         call.enter(CallState.LOGGING, now)
-        record = self._desk.append(
+        record = self._context.append(
             ownership.Intent,
-            self._desk.slot_of(state.program.id).number,
+            self._context.slot_of(state.program.id).number,
             program=state.program.id,
             step=call.message.step,
             key=call.message.key,
             request_digest=call.message.digest,
             amount=call.cost_bound,
         )
-        self._desk.add_verdict_callback(
+        self._context.add_verdict_callback(
             record, self._on_intent_verdict, state, call, record
         )
 
@@ -202,7 +202,7 @@
         now: float,
     ) -> None:
         if verdict.counted and call.abandoned:
-            self._desk.append(
+            self._context.append(
                 ownership.Abort,
                 record.slot,
                 program=record.program,
@@ -210,7 +210,7 @@
             )
         elif verdict.counted:
             call.intent = (record.epoch, record.sequence)
-            self._desk.attempts.submit(state, call, now)
+            self._context.attempts.submit(state, call, now)
         elif not call.abandoned:
             self._refuse_by_verdict(state, call, verdict)
         if call.abandoned and state.active is call:
@@ -227,18 +227,18 @@
         """Log a reservation, then queue the call for an upstream."""
         if not self._check_reservation(state, call, shortfall):
             return
-        service = self._desk.configuration.services[state.program.service]
+        service = self._context.configuration.services[state.program.service]
         ahead = (service.calls_ahead - 1) * call.cost_bound
         if not state.program.account.fits(shortfall + ahead):
             ahead = 0
         call.enter(CallState.LOGGING, now)
-        record = self._desk.append(
+        record = self._context.append(
             ownership.Reserve,
-            self._desk.slot_of(state.program.id).number,
+            self._context.slot_of(state.program.id).number,
             program=state.program.id,
             amount=shortfall + ahead,
         )
-        self._desk.add_verdict_callback(
+        self._context.add_verdict_callback(
             record, self._on_reserve_verdict, state, call
         )
 
@@ -253,7 +253,7 @@
             if state.active is call:
                 state.active = None
         elif verdict.counted:
-            self._desk.attempts.submit(state, call, now)
+            self._context.attempts.submit(state, call, now)
         else:
             self._refuse_by_verdict(state, call, verdict)
         self.advance(state, now)
@@ -263,10 +263,10 @@
     ) -> bool:
         """Return whether ``amount`` can be reserved, else refuse the call."""
         if not state.program.account.fits(amount):
-            self._desk.refuse_active(state, call, Reason.OVER_BUDGET)
+            self._context.refuse_active(state, call, Reason.OVER_BUDGET)
             return False
-        if not self._desk.log_up:
-            self._desk.refuse_active(state, call, Reason.LOG_UNAVAILABLE)
+        if not self._context.log_up:
+            self._context.refuse_active(state, call, Reason.LOG_UNAVAILABLE)
             return False
         return True
 
@@ -283,11 +283,11 @@
         }
         reason = reason_by_verdict.get(verdict)
         if reason is not None:
-            return self._desk.refuse_active(state, call, reason)
+            return self._context.refuse_active(state, call, reason)
         state.active = None
         for to in call.waiters:
-            self._desk.reply_not_owner(
-                self._desk.slot_of(state.program.id), to
+            self._context.reply_not_owner(
+                self._context.slot_of(state.program.id), to
             )
 
     def expire(self, state: runtime.ProgramRuntime, now: float) -> None:
@@ -295,27 +295,27 @@
         for step, call in list(state.queue_by_step.items()):
             if now >= call.deadline:
                 del state.queue_by_step[step]
-                self._desk.refuse_waiters(call, Reason.DEADLINE_EXCEEDED)
+                self._context.refuse_waiters(call, Reason.DEADLINE_EXCEEDED)
         call = state.active
         if call is None or call.abandoned:
             return
         waited = now - call.state_since
         if call.state is CallState.WAITING and now >= call.deadline:
-            self._desk.pool.withdraw(call.message.target, state.program.id)
+            self._context.pool.withdraw(call.message.target, state.program.id)
             if call.intent is not None:
-                self._desk.attempts.append_abort(state, call)
-            self._desk.refuse_active(state, call, Reason.DEADLINE_EXCEEDED)
+                self._context.attempts.append_abort(state, call)
+            self._context.refuse_active(state, call, Reason.DEADLINE_EXCEEDED)
         elif call.state is CallState.LOGGING and (
             now >= call.deadline
             or (
-                not self._desk.log_up
-                and waited > self._desk.limits.log_timeout
+                not self._context.log_up
+                and waited > self._context.limits.log_timeout
             )
         ):
             # The record may still count.  This owner must then not dispatch
             # the call, as the refusal says that it did not run.
             call.abandoned = True
-            self._desk.refuse_waiters(call, Reason.LOG_UNAVAILABLE)
+            self._context.refuse_waiters(call, Reason.LOG_UNAVAILABLE)
 
     def abandon_slot(self, number: int, now: float) -> None:
         """Redirect the waiters of a lost slot to its new owner.
@@ -323,9 +323,9 @@
         Running attempts continue, and the VM that runs one sends its turn
         to the new owner.  Turns already appended may still count.
         """
-        slot = self._desk.fold.slot_by_number[number]
+        slot = self._context.fold.slot_by_number[number]
         for program_id in slot.program_by_id:
-            state = self._desk.runtime_by_program.pop(program_id, None)
+            state = self._context.runtime_by_program.pop(program_id, None)
             if state is None:
                 continue
             calls = list(state.queue_by_step.values())
@@ -340,11 +340,11 @@
         self, state: runtime.ProgramRuntime, call: runtime.Call, now: float
     ) -> None:
         call.abandoned = True
-        self._desk.pool.withdraw(call.message.target, state.program.id)
+        self._context.pool.withdraw(call.message.target, state.program.id)
         if call.state is CallState.RUNNING:
-            self._desk.attempts.release_upstream(call)
+            self._context.attempts.release_upstream(call)
         for to in call.waiters:
-            self._desk.reply_not_owner(
-                self._desk.slot_of(state.program.id), to
+            self._context.reply_not_owner(
+                self._context.slot_of(state.program.id), to
             )
         call.waiters = []
--- a/postspring/coordination/effects.py
+++ b/postspring/coordination/effects.py
@@ -8,12 +8,12 @@
 __all__ = [
     "Append",
     "CancelAttempt",
-    "CopyTurn",
     "Effect",
     "ReleaseCache",
+    "ReplicateTurn",
     "Reply",
     "ReplyTo",
-    "Run",
+    "RunAttempt",
 ]
 
 
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Run:
+class RunAttempt:
     """Run an attempt on this VM."""
 
     grant: messages.Grant
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CopyTurn:
+class ReplicateTurn:
     """Replicate to other VMs a turn that is not in the log yet."""
 
     turn: Any
@@ -75,4 +75,6 @@
     upstreams: tuple[str, ...]
 
 
-Effect = Append | Reply | Run | CancelAttempt | CopyTurn | ReleaseCache
+Effect = (
+    Append | Reply | RunAttempt | CancelAttempt | ReplicateTurn | ReleaseCache
+)
--- a/postspring/coordination/lifecycle.py
+++ b/postspring/coordination/lifecycle.py
@@ -1,10 +1,10 @@
 """Creation, reading and end of programs at their owner."""
 
 from postspring import configuration
-from postspring.coordination import desk
 from postspring.coordination import effects
 from postspring.coordination import limits
 from postspring.coordination import messages
+from postspring.coordination import owner_context
 from postspring.coordination import refusals
 from postspring.coordination import runtime
 from postspring import identifiers
@@ -28,38 +28,40 @@
         State that the parts of the owner share.
     """
 
-    def __init__(self, context: desk.OwnerContext):
-        self._desk = context
+    def __init__(self, context: owner_context.OwnerContext):
+        self._context = context
 
     def create(
         self, message: messages.CreateProgram, to: effects.ReplyTo, now: float
     ) -> None:
         """Create a program, or return the one with the same key."""
-        slot = self._desk.fold.slot_by_number.get(message.slot)
-        if not self._desk.owns(slot):
-            return self._desk.reply_not_owner(slot, to)
+        slot = self._context.fold.slot_by_number.get(message.slot)
+        if not self._context.owns(slot):
+            return self._context.reply_not_owner(slot, to)
         known = slot.program_by_create_key.get(message.key)
         if message.key and known is not None:
-            return self._desk.reply(to, messages.ProgramCreated(program=known))
-        service = self._desk.configuration.services.get(message.service)
+            return self._context.reply(
+                to, messages.ProgramCreated(program=known)
+            )
+        service = self._context.configuration.services.get(message.service)
         reason = self._creation_refusal(slot, message, service)
         if reason is not None:
-            return self._desk.refuse(
+            return self._context.refuse(
                 to, reason, retry_after_ms=limits.retry_after_ms(reason)
             )
-        if not self._desk.log_up:
-            return self._desk.refuse_log_unavailable(to)
+        if not self._context.log_up:
+            return self._context.refuse_log_unavailable(to)
         budget = message.budget
         if budget is None and message.parent is None:
             budget = service.default_budget
         priority = message.priority
         if priority is None:
             priority = service.priority
-        record = self._desk.append(
+        record = self._context.append(
             ownership.Create,
             message.slot,
             program=identifiers.new_program_id(
-                self._desk.data_center, message.slot
+                self._context.data_center, message.slot
             ),
             service=message.service,
             priority=priority,
@@ -67,7 +69,7 @@
             parent=message.parent,
             key=message.key,
         )
-        self._desk.add_verdict_callback(
+        self._context.add_verdict_callback(
             record, self._on_create_verdict, record, to
         )
 
@@ -94,7 +96,7 @@
         """Return how many programs of a service live in this data centre."""
         return sum(
             program.live and program.service == service
-            for slot in self._desk.fold.slot_by_number.values()
+            for slot in self._context.fold.slot_by_number.values()
             for program in slot.program_by_id.values()
         )
 
@@ -105,31 +107,31 @@
         verdict: Verdict,
         now: float,
     ) -> None:
-        slot = self._desk.fold.slot_by_number[record.slot]
+        slot = self._context.fold.slot_by_number[record.slot]
         if verdict.counted:
             created = messages.ProgramCreated(program=record.program)
-            self._desk.reply(to, created)
+            self._context.reply(to, created)
         elif verdict is Verdict.KEY_USED:
             known = slot.program_by_create_key[record.key]
-            self._desk.reply(to, messages.ProgramCreated(program=known))
+            self._context.reply(to, messages.ProgramCreated(program=known))
         elif verdict is Verdict.PROGRAM_ENDED:
-            self._desk.refuse(to, Reason.PROGRAM_ENDED)
+            self._context.refuse(to, Reason.PROGRAM_ENDED)
         else:
-            self._desk.reply_not_owner(slot, to)
+            self._context.reply_not_owner(slot, to)
 
     def read(
         self, message: messages.ReadProgram, to: effects.ReplyTo, now: float
     ) -> None:
         """Reply with a program's state and a page of its turns."""
-        state = self._desk.find_or_refuse(message.program, to)
+        state = self._context.find_or_refuse(message.program, to)
         if state is not None:
-            self._desk.reply(to, self._view(state, message))
+            self._context.reply(to, self._view(state, message))
 
     def _view(
         self, state: runtime.ProgramRuntime, message: messages.ReadProgram
     ) -> messages.ProgramView:
         program = state.program
-        slot = self._desk.slot_of(program.id)
+        slot = self._context.slot_of(program.id)
         first = max(message.from_step, 1) - 1
         page = state.turns[first : first + max(message.limit, 0)]
         return messages.ProgramView(
@@ -139,7 +141,7 @@
             parent=program.parent,
             status=program.status,
             end_reason=program.end_reason,
-            owner=self._desk.vm,
+            owner=self._context.vm,
             epoch=slot.epoch,
             step=state.tip.step,
             digest=state.tip.digest,
@@ -156,7 +158,7 @@
         self, message: messages.EndProgram, to: effects.ReplyTo, now: float
     ) -> None:
         """End a program and its sub-agents."""
-        state = self._desk.find_or_refuse(message.program, to)
+        state = self._context.find_or_refuse(message.program, to)
         if state is None:
             return
         program = state.program
@@ -164,9 +166,9 @@
             ended = messages.ProgramEnded(
                 program=program.id, spent=program.account.spent
             )
-            return self._desk.reply(to, ended)
-        if not self._desk.log_up:
-            return self._desk.refuse_log_unavailable(to)
+            return self._context.reply(to, ended)
+        if not self._context.log_up:
+            return self._context.refuse_log_unavailable(to)
         self.append_end(state, message.reason, to)
 
     def append_end(
@@ -176,17 +178,17 @@
         to: effects.ReplyTo | None,
     ) -> None:
         """Stop all calls of a program's tree and append its end."""
-        slot = self._desk.slot_of(state.program.id)
+        slot = self._context.slot_of(state.program.id)
         for member in slot.tree(state.program.id):
             self._cancel_calls(member.id)
-        record = self._desk.append(
+        record = self._context.append(
             ownership.End,
             slot.number,
             program=state.program.id,
             reason=reason,
             charge=state.lost_cost,
         )
-        self._desk.add_verdict_callback(
+        self._context.add_verdict_callback(
             record, self._on_end_verdict, record, to
         )
 
@@ -197,7 +199,7 @@
         verdict: Verdict,
         now: float,
     ) -> None:
-        slot = self._desk.fold.slot_by_number[record.slot]
+        slot = self._context.fold.slot_by_number[record.slot]
         if to is None:
             return
         if verdict.counted or verdict is Verdict.PROGRAM_ENDED:
@@ -205,11 +207,13 @@
             ended = messages.ProgramEnded(
                 program=record.program, spent=account.spent
             )
-            self._desk.reply(to, ended)
+            self._context.reply(to, ended)
         else:
-            self._desk.reply_not_owner(slot, to)
+            self._context.reply_not_owner(slot, to)
 
-    def release(self, slot: ownership.SlotState, program_id: str) -> None:
+    def release_caches(
+        self, slot: ownership.SlotState, program_id: str
+    ) -> None:
         """Release what engines cache for an ended program's tree."""
         for member in slot.tree(program_id):
             engines = {
@@ -217,10 +221,10 @@
                 for turn in member.turns
                 if turn.kind is programs.CallKind.MODEL and turn.upstream
             }
-            engines |= self._desk.engines_by_program.pop(member.id, set())
-            self._desk.active_at_by_program.pop(member.id, None)
+            engines |= self._context.engines_by_program.pop(member.id, set())
+            self._context.active_at_by_program.pop(member.id, None)
             if engines:
-                self._desk.effects.append(
+                self._context.effects.append(
                     effects.ReleaseCache(
                         member.id, slot.epoch, tuple(sorted(engines))
                     )
@@ -230,14 +234,14 @@
         """Release caches that a former owner may not have released."""
         for program in list(slot.program_by_id.values()):
             if not program.live:
-                self.release(slot, program.id)
+                self.release_caches(slot, program.id)
 
-    def end_idle(self, now: float) -> None:
+    def end_idle_programs(self, now: float) -> None:
         """End programs that have had no call for ``idle_seconds``.
 
         Programs that have sub-agents are not ended.
         """
-        context = self._desk
+        context = self._context
         for slot in context.fold.slot_by_number.values():
             if not context.owns(slot):
                 continue
@@ -257,18 +261,18 @@
 
     def _cancel_calls(self, program_id: str) -> None:
         """Stop every call of a program that is about to end."""
-        state = self._desk.runtime_by_program.get(program_id)
+        state = self._context.runtime_by_program.get(program_id)
         if state is None:
             return
         for call in state.queue_by_step.values():
-            self._desk.refuse_waiters(call, Reason.PROGRAM_ENDED)
+            self._context.refuse_waiters(call, Reason.PROGRAM_ENDED)
         state.queue_by_step.clear()
         call = state.active
         if call is None:
             return
         if call.state is CallState.RUNNING:
-            self._desk.effects.append(
+            self._context.effects.append(
                 effects.CancelAttempt(call.runner, program_id, call.attempt)
             )
-        self._desk.attempts.abandon_active(state, call)
-        self._desk.refuse_waiters(call, Reason.PROGRAM_ENDED)
+        self._context.attempts.abandon_active(state, call)
+        self._context.refuse_waiters(call, Reason.PROGRAM_ENDED)
--- a/postspring/coordination/owner.py
+++ b/postspring/coordination/owner.py
@@ -13,11 +13,11 @@
 from postspring.coordination import admission
 from postspring.coordination import attempt_flow
 from postspring.coordination import call_flow
-from postspring.coordination import desk
 from postspring.coordination import effects
 from postspring.coordination import lifecycle
 from postspring.coordination import limits
 from postspring.coordination import messages
+from postspring.coordination import owner_context
 from postspring.coordination import refusals
 from postspring.coordination import turn_flow
 from postspring import ownership
@@ -62,18 +62,18 @@
         pool: scheduling.UpstreamPool,
         bounds: limits.OwnerLimits = limits.OwnerLimits(),
     ):
-        self._desk = desk.OwnerContext(
+        self._context = owner_context.OwnerContext(
             vm, incarnation, data_center, fold, pool, bounds
         )
-        self._lifecycle = lifecycle.ProgramLifecycle(self._desk)
-        self._calls = call_flow.CallFlow(self._desk)
-        self._attempts = attempt_flow.AttemptFlow(self._desk)
-        self._turns = turn_flow.TurnFlow(self._desk)
-        self._desk.lifecycle = self._lifecycle
-        self._desk.admission = admission.Admission(self._desk)
-        self._desk.calls = self._calls
-        self._desk.attempts = self._attempts
-        self._desk.turns = self._turns
+        self._lifecycle = lifecycle.ProgramLifecycle(self._context)
+        self._calls = call_flow.CallFlow(self._context)
+        self._attempts = attempt_flow.AttemptFlow(self._context)
+        self._turns = turn_flow.TurnFlow(self._context)
+        self._context.lifecycle = self._lifecycle
+        self._context.admission = admission.Admission(self._context)
+        self._context.calls = self._calls
+        self._context.attempts = self._attempts
+        self._context.turns = self._turns
         self._handler_by_type: dict[type, Callable] = {
             messages.CreateProgram: self._lifecycle.create,
             messages.ReadProgram: self._lifecycle.read,
@@ -96,14 +96,14 @@
         handle = self._handler_by_type.get(type(message))
         if handle is None:
             reason = refusals.RefusalReason.BAD_REQUEST
-            self._desk.refuse(to, reason, detail="not a request")
+            self._context.refuse(to, reason, detail="not a request")
             return
         handle(message, to, now)
         self._attempts.assign(now)
 
     def on_record(self, record: Any, verdict: Verdict, now: float) -> None:
         """Process a record of this stream and the fold's verdict on it."""
-        context = self._desk
+        context = self._context
         if isinstance(record, ownership.Claim) and verdict.counted:
             context.claimed_at_by_slot[record.slot] = now
             slot = context.fold.slot_by_number[record.slot]
@@ -114,7 +114,7 @@
         if isinstance(record, ownership.End) and verdict.counted:
             slot = context.fold.slot_by_number[record.slot]
             if context.owns(slot):
-                self._lifecycle.release(slot, record.program)
+                self._lifecycle.release_caches(slot, record.program)
         callback = context.verdict_callback_by_identity.pop(
             record.identity, None
         )
@@ -126,7 +126,7 @@
 
     def on_peer_lost(self, vm: str, now: float) -> None:
         """Treat the attempts that a lost VM was running as failed."""
-        for state in list(self._desk.runtime_by_program.values()):
+        for state in list(self._context.runtime_by_program.values()):
             call = state.active
             if call is not None and call.runner == vm:
                 call.waiters = [to for to in call.waiters if to.vm != vm]
@@ -137,7 +137,7 @@
 
     def tick(self, now: float) -> None:
         """Apply deadlines; to be called several times a second."""
-        runtime_by_program = self._desk.runtime_by_program
+        runtime_by_program = self._context.runtime_by_program
         for state in list(runtime_by_program.values()):
             self._turns.hold_overdue(state, now)
             self._calls.expire(state, now)
@@ -146,16 +146,16 @@
                 del runtime_by_program[state.program.id]
         self._attempts.assign(now)
 
-    def end_idle(self, now: float) -> None:
+    def end_idle_programs(self, now: float) -> None:
         """End idle programs; to be called periodically."""
-        self._lifecycle.end_idle(now)
+        self._lifecycle.end_idle_programs(now)
 
     # -- outputs ------------------------------------------------------------
 
     def take_effects(self) -> list[effects.Effect]:
         """Return the effects that the host is to execute, and clear them."""
-        taken = self._desk.effects
-        self._desk.effects = []
+        taken = self._context.effects
+        self._context.effects = []
         return taken
 
     def release_slot(self, slot: int, successor: str | None) -> bool:
@@ -163,7 +163,7 @@
 
         Returns whether the release was appended.
         """
-        context = self._desk
+        context = self._context
         charge_by_program = {}
         for program_id in context.fold.slot_by_number[slot].program_by_id:
             state = context.runtime_by_program.get(program_id)
@@ -188,47 +188,47 @@
     @property
     def bounds(self) -> limits.OwnerLimits:
         """The limits and timeouts."""
-        return self._desk.limits
+        return self._context.limits
 
     def reconfigure(self, in_force: configuration.Configuration) -> None:
         """Apply another configuration to all later decisions."""
-        self._desk.configuration = in_force
+        self._context.configuration = in_force
 
     @property
     def log_up(self) -> bool:
         """Whether the log is available for reads and writes."""
-        return self._desk.log_up
+        return self._context.log_up
 
     @log_up.setter
     def log_up(self, up: bool) -> None:
-        self._desk.log_up = up
+        self._context.log_up = up
 
     @property
     def retry_budget(self) -> scheduling.RetryBudget:
         """The budget that keeps retries a small share of calls."""
-        return self._desk.retry_budget
+        return self._context.retry_budget
 
     @property
     def retries_by_reason(self) -> collections.Counter:
         """Number of retries by reason."""
-        return self._desk.retries_by_reason
+        return self._context.retries_by_reason
 
     @property
     def held_bytes(self) -> int:
         """Size of the turns that are not in the log yet."""
-        return self._desk.held_bytes
+        return self._context.held_bytes
 
     @property
-    def busy(self) -> bool:
+    def needs_ticks(self) -> bool:
         """Whether :meth:`tick` has anything to do."""
-        return bool(self._desk.runtime_by_program)
+        return bool(self._context.runtime_by_program)
 
     @property
     def busy_programs(self) -> set[str]:
         """Programs that have calls queued, active or pending here."""
         return {
             program
-            for program, state in self._desk.runtime_by_program.items()
+            for program, state in self._context.runtime_by_program.items()
             if not state.idle
         }
 
@@ -239,5 +239,5 @@
             len(state.queue_by_step)
             + (state.active is not None)
             + len(state.pending)
-            for state in self._desk.runtime_by_program.values()
+            for state in self._context.runtime_by_program.values()
         )
--- a/postspring/coordination/tests/harness.py
+++ b/postspring/coordination/tests/harness.py
@@ -125,7 +125,7 @@
             elif isinstance(effect, coordination.Reply):
                 number = effect.to.request
                 self.replies.setdefault(number, []).append(effect.message)
-            elif isinstance(effect, coordination.Run):
+            elif isinstance(effect, coordination.RunAttempt):
                 self.local_grants.append(effect.grant)
             else:
                 self.other_effects.append(effect)
--- a/postspring/coordination/turn_flow.py
+++ b/postspring/coordination/turn_flow.py
@@ -1,9 +1,9 @@
 """Appends turns to the log and answers the requests that wait for them."""
 
-from postspring.coordination import desk
 from postspring.coordination import effects
 from postspring.coordination import limits
 from postspring.coordination import messages
+from postspring.coordination import owner_context
 from postspring.coordination import refusals
 from postspring.coordination import runtime
 from postspring import ownership
@@ -32,8 +32,8 @@
         State that the parts of the owner share.
     """
 
-    def __init__(self, context: desk.OwnerContext):
-        self._desk = context
+    def __init__(self, context: owner_context.OwnerContext):
+        self._context = context
 
     def answer(
         self,
@@ -45,7 +45,9 @@
         pending = state.pending_turn(turn.digest)
         if pending is None or pending.held:
             held = pending is not None
-            self._desk.reply(to, messages.CallAnswered(turn=turn, held=held))
+            self._context.reply(
+                to, messages.CallAnswered(turn=turn, held=held)
+            )
         else:
             pending.waiters.append(to)
 
@@ -70,7 +72,7 @@
         waiters = []
         if call is not None:
             waiters = call.waiters
-            self._desk.attempts.abandon_active(state, call)
+            self._context.attempts.abandon_active(state, call)
         self.commit(state, turn, waiters, now)
         return True
 
@@ -88,17 +90,17 @@
         tip = state.tip
         if turn.step != tip.step + 1 or turn.parent != tip.digest:
             for to in waiters:
-                self._desk.refuse(to, Reason.SUPERSEDED, ran=Ran.UNKNOWN)
+                self._context.refuse(to, Reason.SUPERSEDED, ran=Ran.UNKNOWN)
             return
         pending = runtime.PendingTurn(turn, now, waiters)
         state.pending.append(pending)
-        self._desk.held_bytes += len(turn.request) + len(turn.answer)
-        self._desk.add_verdict_callback(
+        self._context.held_bytes += len(turn.request) + len(turn.answer)
+        self._context.add_verdict_callback(
             turn, self._on_turn_verdict, state, pending
         )
-        self._desk.effects.append(effects.Append(turn))
-        if not self._desk.log_up:
-            self.hold_overdue(state, now + self._desk.limits.hold_after)
+        self._context.effects.append(effects.Append(turn))
+        if not self._context.log_up:
+            self.hold_overdue(state, now + self._context.limits.hold_after)
 
     def _on_turn_verdict(
         self,
@@ -111,14 +113,14 @@
         if pending not in state.pending:
             return
         state.pending.remove(pending)
-        self._desk.held_bytes -= len(turn.request) + len(turn.answer)
+        self._context.held_bytes -= len(turn.request) + len(turn.answer)
         if verdict.counted:
             answered = messages.CallAnswered(turn=turn)
             for to in pending.waiters:
-                self._desk.reply(to, answered)
+                self._context.reply(to, answered)
         else:
             self._refuse_rejected(state, pending, verdict)
-        self._desk.calls.advance(state, now)
+        self._context.calls.advance(state, now)
 
     def _refuse_rejected(
         self,
@@ -133,9 +135,9 @@
         state.pending = []
         for item in [pending, *followers]:
             for to in item.waiters:
-                self._desk.refuse(to, reason, ran=Ran.UNKNOWN)
+                self._context.refuse(to, reason, ran=Ran.UNKNOWN)
         for item in followers:
-            self._desk.held_bytes -= len(item.turn.request) + len(
+            self._context.held_bytes -= len(item.turn.request) + len(
                 item.turn.answer
             )
 
@@ -144,21 +146,21 @@
 
         Requests for the call of that step are then handled anew.
         """
-        state = self._desk.runtime_by_program.get(turn.program)
+        state = self._context.runtime_by_program.get(turn.program)
         if state is None:
             return
         call = state.active
         superseded = []
         if call is not None and call.message.step == turn.step:
-            self._desk.attempts.abandon_active(state, call)
+            self._context.attempts.abandon_active(state, call)
             superseded.append(call)
         queued = state.queue_by_step.pop(turn.step, None)
         if queued is not None:
             superseded.append(queued)
         for call in superseded:
             for to in call.waiters:
-                self._desk.calls.handle_call(call.message, to, now)
-        self._desk.calls.advance(state, now)
+                self._context.calls.handle_call(call.message, to, now)
+        self._context.calls.advance(state, now)
 
     def _refuse_unknown(self, pending: runtime.PendingTurn) -> None:
         """Refuse, with a retry delay, a call whose outcome may arrive.
@@ -170,7 +172,7 @@
         waiters = pending.waiters
         pending.waiters = []
         for to in waiters:
-            self._desk.refuse(
+            self._context.refuse(
                 to,
                 Reason.LOG_UNAVAILABLE,
                 Ran.UNKNOWN,
@@ -180,15 +182,17 @@
     def hold_overdue(self, state: runtime.ProgramRuntime, now: float) -> None:
         """Answer as held the turns that waited too long for the log."""
         for pending in state.pending:
-            if now - pending.appended_at < self._desk.limits.hold_after:
+            if now - pending.appended_at < self._context.limits.hold_after:
                 continue
             if pending.turn.status is programs.TurnStatus.UNKNOWN:
                 self._refuse_unknown(pending)
                 continue
             if not pending.held:
                 pending.held = True
-                self._desk.effects.append(effects.CopyTurn(pending.turn))
+                self._context.effects.append(
+                    effects.ReplicateTurn(pending.turn)
+                )
             answered = messages.CallAnswered(turn=pending.turn, held=True)
             for to in pending.waiters:
-                self._desk.reply(to, answered)
+                self._context.reply(to, answered)
             pending.waiters = []
--- a/postspring/daemon/main.py
+++ b/postspring/daemon/main.py
@@ -46,7 +46,7 @@
 
     @staticmethod
     def _publisher(platform: str) -> client.ConfigurationPublisher:
-        address = settings_module.split_address(platform)
+        address = settings_module.parse_address(platform)
         return client.ConfigurationPublisher(address)
 
 
@@ -118,7 +118,7 @@
         key = key or os.environ.get("POSTSPRING_OPERATOR_KEY", "")
         if not entry:
             raise errors.CommandError("--entry=ip:port is required")
-        commander = client.Commander([entry], key)
+        commander = client.CommandClient([entry], key)
         statements = [text] if text is not None else sys.stdin
         results = [
             commander.run(str(line), format, change_id)
--- a/postspring/entry/cache_keeper.py
+++ b/postspring/entry/cache_keeper.py
@@ -207,7 +207,7 @@
 
     def _release_strays(self, host: Any) -> None:
         """Release sessions of the host's programs that are gone."""
-        if not host.tail.caught_up:
+        if not host.tail.has_caught_up:
             return
         now = self._timers.now()
         for (engine, session), since in list(self._held_since.items()):
--- a/postspring/entry/commands.py
+++ b/postspring/entry/commands.py
@@ -60,10 +60,10 @@
         self._on_error = on_error
         self._run_by_type = {
             command.Query: self._query,
-            command.Cancel: self._cancel,
+            command.CancelProgram: self._cancel,
             command.Drain: self._edit,
             command.SetField: self._edit,
-            command.DeclareLost: self._edit,
+            command.DeclareDataCenter: self._edit,
             command.EngineOrder: self._order,
         }
 
@@ -85,7 +85,7 @@
 
     # -- changes ------------------------------------------------------------
 
-    def _cancel(self, statement: command.Cancel) -> None:
+    def _cancel(self, statement: command.CancelProgram) -> None:
         address = identifiers.parse_program_id(statement.program)
         message = coordination.EndProgram(
             program=statement.program,
--- a/postspring/entry/configuration_edits.py
+++ b/postspring/entry/configuration_edits.py
@@ -71,8 +71,10 @@
     entry["draining"] = statement.draining
 
 
-@_edits(command.DeclareLost)
-def _declare_lost(document: dict, statement: command.DeclareLost) -> None:
+@_edits(command.DeclareDataCenter)
+def _declare_lost(
+    document: dict, statement: command.DeclareDataCenter
+) -> None:
     lost = set(document.get("lost_data_centers", ()))
     if statement.lost:
         lost.add(statement.data_center)
--- a/postspring/entry/configuration_host.py
+++ b/postspring/entry/configuration_host.py
@@ -23,7 +23,7 @@
     """A record that was appended and is not judged yet."""
 
     change_id: str
-    record: configuration.Publish
+    record: configuration.PublishRecord
     on_version: Callable[[int], None]
     on_error: Callable[[errors.PostspringError], None]
     offset: int = -1
@@ -116,10 +116,10 @@
         counts, or with a PublishConflictError, or with a PlatformError
         after which the same change may be published again.
         """
-        if self.fold.counted_change(change_id):
+        if self.fold.is_change_accepted(change_id):
             on_version(self.state.version)
             return
-        record = configuration.Publish(
+        record = configuration.PublishRecord(
             change_id=change_id,
             expected_version=expected_version,
             version=expected_version + 1,
@@ -151,7 +151,7 @@
         if not self.state.version or age < due or not self.fold.has_base:
             return
         state = self.state
-        record = configuration.Publish(
+        record = configuration.PublishRecord(
             change_id=state.change_id,
             expected_version=state.version,
             version=state.version,
@@ -172,7 +172,7 @@
             if self.fold.next_offset <= publishing.offset:
                 continue
             self._publishing.remove(publishing)
-            if self.fold.counted_change(publishing.change_id):
+            if self.fold.is_change_accepted(publishing.change_id):
                 publishing.on_version(publishing.record.version)
             else:
                 publishing.on_error(
--- a/postspring/entry/core.py
+++ b/postspring/entry/core.py
@@ -81,7 +81,7 @@
         self._drain_deadline = 0.0
         self._idle_since = 0.0
         self.meters = metrics.Metrics()
-        platform_address = settings_module.split_address(settings.platform)
+        platform_address = settings_module.parse_address(settings.platform)
         self.log_client = relayed_log.RelayedLogClient(
             sharedlog.LogClient(http, platform_address),
             timers,
@@ -252,7 +252,7 @@
             key=lambda entry: (entry.data_center != home, entry.vm)
         )
         for entry in responsive[: self.settings.copies]:
-            self.peers.tell(entry.vm, peers.HoldTurns(turns=(turn,)))
+            self.peers.tell(entry.vm, peers.ReplicateTurns(turns=(turn,)))
 
     # -- peers ----------------------------------------------------------------
 
@@ -296,7 +296,7 @@
         listed = self.vm_list.entry_by_vm.values()
         self.peers.replace_peers(
             {
-                entry.vm: settings_module.split_address(entry.address)
+                entry.vm: settings_module.parse_address(entry.address)
                 for entry in listed
                 if entry.vm != self.settings.vm
                 and entry.vm not in self.pool.upstream_by_id
@@ -347,25 +347,25 @@
 
     def _observe(self) -> None:
         meters = self.meters
-        meters.observe(
+        meters.add_gauge(
             "owned_slots", "Slots owned", lambda: len(self.slots.owned_slots)
         )
-        meters.observe(
+        meters.add_gauge(
             "busy_calls",
             "Calls queued, active or pending at this owner",
             lambda: self.slots.owner.busy_calls,
         )
-        meters.observe(
+        meters.add_gauge(
             "held_bytes",
             "Bytes of turns that are not in the log yet",
             lambda: self.slots.owner.held_bytes,
         )
-        meters.observe(
+        meters.add_gauge(
             "configuration_version",
             "Version in force",
             lambda: self.configuration.state.version,
         )
-        meters.observe(
+        meters.add_gauge(
             "log_up", "1 if the log answers", lambda: int(self.slots.log_up)
         )
 
--- a/postspring/entry/node.py
+++ b/postspring/entry/node.py
@@ -56,7 +56,7 @@
             lambda: self._web.active,
         )
         self._web = web.WebServer(
-            settings_module.split_address(settings.listen),
+            settings_module.parse_address(settings.listen),
             self.core.callers.handle,
             self._timers,
             self.core.web_limits,
@@ -69,7 +69,7 @@
 
     def shut_down(self) -> None:
         """Stop gracefully: take nothing new, finish, hand over, close."""
-        self._web.refuse_new()
+        self._web.stop_accepting()
         self.core.shut_down(self._on_stopped)
 
     @property
@@ -82,7 +82,7 @@
         hub = peers.PeerHub(
             self._timers,
             settings.vm,
-            settings_module.split_address(settings.peer_listen),
+            settings_module.parse_address(settings.peer_listen),
             settings.peer_key.get_secret_value(),
             *functions,
             settings.peer_interval,
--- a/postspring/entry/peer_service.py
+++ b/postspring/entry/peer_service.py
@@ -67,10 +67,10 @@
     core.attempts.cancel(message.program, message.attempt)
 
 
-@_answers(peers.HoldTurns)
+@_answers(peers.ReplicateTurns)
 def _hold_turns(core: Any, message: Any, reply: Reply) -> None:
     taken = sum(core.grants.keep_copy(turn) for turn in message.turns)
-    reply(peers.TurnsHeld(taken=taken))
+    reply(peers.TurnsReplicated(taken=taken))
 
 
 @_answers(peers.AppendRecords)
--- a/postspring/entry/slots.py
+++ b/postspring/entry/slots.py
@@ -220,7 +220,7 @@
             for effect in taken:
                 self._carry_out_one(effect)
         self._report_retries()
-        if self.owner.busy and self._ticker is None:
+        if self.owner.needs_ticks and self._ticker is None:
             self._ticker = self._timers.call_later(TICK_SECONDS, self._tick)
 
     def _carry_out_one(self, effect: coordination.Effect) -> None:
@@ -230,9 +230,9 @@
             reply = self._reply_by_request.pop(effect.to.request, None)
             if reply is not None:
                 reply(effect.message)
-        elif isinstance(effect, coordination.Run):
+        elif isinstance(effect, coordination.RunAttempt):
             self._run(effect.grant)
-        elif isinstance(effect, coordination.CopyTurn):
+        elif isinstance(effect, coordination.ReplicateTurn):
             self._copy_turn(effect.turn)
         elif isinstance(effect, coordination.ReleaseCache):
             self._release_cache(effect)
@@ -329,12 +329,12 @@
         self._carry_out()
 
     def _end_idle(self) -> None:
-        self.owner.end_idle(self._timers.now())
+        self.owner.end_idle_programs(self._timers.now())
         self._carry_out()
 
     def _plan(self) -> None:
         """Claim slots that should be ours, hand over those that shouldn't."""
-        if not self.tail.caught_up or not self.log_up:
+        if not self.tail.has_caught_up or not self.log_up:
             return
         alive = self._alive()
         seen = (self.fold.next_offset, tuple(alive))
@@ -353,7 +353,7 @@
 
     def _carry(self) -> None:
         """Write the owned slots' state again before its records expire."""
-        if not self.log_up or not self.tail.caught_up:
+        if not self.log_up or not self.tail.has_caught_up:
             return
         for number in self.owned_slots:
             slot = self.fold.slot_by_number[number]
--- a/postspring/entry/tests/test_commands.py
+++ b/postspring/entry/tests/test_commands.py
@@ -28,7 +28,7 @@
     def run_text(self, text, vm="rimac-1", **options):
         """Run a text on a VM."""
         address = self.deployment.vm_by_name[vm].listen
-        return client.Commander([address], KEY).run(text, **options)
+        return client.CommandClient([address], KEY).run(text, **options)
 
     def cli(self, *arguments, text=None):
         """Run the command line; return status and both outputs."""
@@ -125,7 +125,7 @@
     def test_the_wrong_key_is_refused(self):
         address = self.deployment.vm_by_name["rimac-1"].listen
         with self.assertRaises(errors.CommandError) as caught:
-            client.Commander([address], "wrong").run("show vms")
+            client.CommandClient([address], "wrong").run("show vms")
         self.assertIn("not_permitted", str(caught.exception))
 
     def test_the_command_line(self):
@@ -165,5 +165,5 @@
         deployment.begin()
         deployment.kill("rimac-2")
         address = deployment.vm_by_name["rimac-1"].listen
-        shown = client.Commander([address]).run("show vms (id)")
+        shown = client.CommandClient([address]).run("show vms (id)")
         self.assertIn("not reached: rimac-2", shown)
--- a/postspring/forwarding/__init__.py
+++ b/postspring/forwarding/__init__.py
@@ -3,17 +3,16 @@
 from postspring.forwarding.admission import Admission
 from postspring.forwarding.certainty import Certainty
 from postspring.forwarding.certainty import Doubt
-from postspring.forwarding.certainty import doubts_of
-from postspring.forwarding.certainty import told_age
+from postspring.forwarding.certainty import find_doubts
+from postspring.forwarding.certainty import loggable_age
 from postspring.forwarding.delivery import Delivery
-from postspring.forwarding.dispatch import Dispatcher
-from postspring.forwarding.dispatch import Receiver
+from postspring.forwarding.delivery_context import DeliveryContext
+from postspring.forwarding.delivery_context import Receiver
 from postspring.forwarding.event_splitter import EventSplitter
 from postspring.forwarding.forwarder import Forwarder
 from postspring.forwarding.limits import Limiter
 from postspring.forwarding.limits import NoLimiter
 from postspring.forwarding.limits import Verdict
-from postspring.forwarding.ports import AnswerFacts
 from postspring.forwarding.ports import CallFacts
 from postspring.forwarding.ports import EventFacts
 from postspring.forwarding.ports import Finding
@@ -22,6 +21,7 @@
 from postspring.forwarding.ports import Peers
 from postspring.forwarding.ports import Question
 from postspring.forwarding.ports import RELAYED_NAME
+from postspring.forwarding.ports import ResponseFacts
 from postspring.forwarding.ports import UpstreamExtra
 from postspring.forwarding.ports import WireFormat
 from postspring.forwarding.refusals import Refusal
@@ -29,11 +29,11 @@
 __all__ = [
     "RELAYED_NAME",
     "Admission",
-    "AnswerFacts",
+    "ResponseFacts",
     "CallFacts",
     "Certainty",
     "Delivery",
-    "Dispatcher",
+    "DeliveryContext",
     "Doubt",
     "EventFacts",
     "EventSplitter",
@@ -50,6 +50,6 @@
     "UpstreamExtra",
     "Verdict",
     "WireFormat",
-    "doubts_of",
-    "told_age",
+    "find_doubts",
+    "loggable_age",
 ]
--- a/postspring/forwarding/admission.py
+++ b/postspring/forwarding/admission.py
@@ -55,14 +55,14 @@
         self._wire = wire
         self._peers = peers
         self._confirmed_age = confirmed_age
-        self._longest_age = math.inf
+        self._max_confirmed_age = math.inf
         if key_removal is not None:
-            self._longest_age = key_removal * ADMISSION_SHARE
+            self._max_confirmed_age = key_removal * ADMISSION_SHARE
 
     @property
     def is_confirmed(self) -> bool:
         """Whether the configuration is recent enough to check keys."""
-        return self._confirmed_age() < self._longest_age
+        return self._confirmed_age() < self._max_confirmed_age
 
     def find(
         self,
--- a/postspring/forwarding/budgeted_call.py
+++ b/postspring/forwarding/budgeted_call.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 import dataclasses
 
-from postspring.forwarding import choice
 from postspring.forwarding import delivery as delivery_module
-from postspring.forwarding import dispatch
+from postspring.forwarding import delivery_context
+from postspring.forwarding import outbound_call
 from postspring.forwarding import outcome as outcome_module
 from postspring.forwarding import plain
 from postspring.forwarding import ports
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        dispatcher: dispatch.Dispatcher,
+        context: delivery_context.DeliveryContext,
         services: "TurnServices",
         call: transport.IncomingCall,
         facts: ports.CallFacts,
@@ -52,7 +52,7 @@
         deadline: float,
         outcome: outcome_module.Outcome,
     ):
-        super().__init__(dispatcher, call, facts, outcome)
+        super().__init__(context, call, facts, outcome)
         self._services = services
         self._journal = services.journal
         self._route = route
@@ -69,8 +69,8 @@
 
     def start(self) -> None:
         """Open the turn, and run it."""
-        self._call.on_gone = self._on_caller_gone
-        timers = self._dispatcher.timers
+        self._call.on_disconnect = self._on_caller_gone
+        timers = self._context.timers
         self._unsent_timer = timers.call_later(
             self._deadline - timers.now(), self._on_deadline
         )
@@ -104,7 +104,7 @@
             OPEN_TIMEOUT_SECONDS,
             self._turn_opened,
             lambda error: self._query_peers(
-                self._begin_offline_budget, ports.Question.HOME
+                self._begin_offline_budget, ports.Question.OFFLINE
             ),
         )
 
@@ -122,7 +122,7 @@
             self._close(refusals.Refusal.BUDGET_SPENT)
         elif state is histories.TurnState.DEFERRED:
             self._query_peers(self._refuse_reserved)
-        elif state is histories.TurnState.TAKEN and self._is_relayed:
+        elif state is histories.TurnState.ID_IN_USE and self._is_relayed:
             # The VM that relayed the turn has given up its own opening.
             self._close(refusals.Refusal.JOURNAL_UNAVAILABLE)
         else:
@@ -139,7 +139,7 @@
         """
         peers = self._services.peers
         is_charged = self._ticket.origin is not histories.Origin.LOG
-        if is_charged or not peers.may_owe(self._program):
+        if is_charged or not peers.may_have_uncharged_turns(self._program):
             self._start_delivery()
             return
         peers.find(
@@ -149,11 +149,11 @@
     def _unsettled_found(self, finding: ports.Finding) -> None:
         if self._closed:
             self._settle()
-        elif not finding.is_refused and self._journal.fits_beside(
+        elif not finding.is_refused and self._journal.fits_with_offline_use(
             self._program,
             self._facts.budget,
             finding.unsettled,
-            finding.home_left,
+            finding.offline_tokens_left,
         ):
             self._start_delivery()
         else:
@@ -164,7 +164,7 @@
     def _start_delivery(self) -> None:
         self._unsent_timer.cancel()
         self.delivery = delivery_module.Delivery(
-            self._dispatcher,
+            self._context,
             self._outbound_call(),
             self._route,
             self._deadline,
@@ -172,10 +172,12 @@
         )
         self.delivery.start()
 
-    def _outbound_call(self) -> choice.OutboundCall:
+    def _outbound_call(self) -> outbound_call.OutboundCall:
         """Return the outgoing call with its preferred upstream."""
-        upstream = self._journal.place_of(self._program, self._facts.line)
-        return choice.OutboundCall(
+        upstream = self._journal.last_upstream_of(
+            self._program, self._facts.line
+        )
+        return outbound_call.OutboundCall(
             self._call, self._facts, self._call.body, upstream
         )
 
@@ -221,7 +223,7 @@
         """
         peers = self._services.peers
         return (
-            peers.send_away
+            peers.callers_should_retry
             and not self._is_relayed
             and self._journal.is_recorded(self._program, self._facts.previous)
         )
@@ -235,7 +237,7 @@
         self._unsent_timer.cancel()
         self._outcome.add(passed_to=taker.id)
         relayed_call = plain.PlainCall(
-            self._dispatcher,
+            self._context,
             self._call,
             self._facts,
             self._route,
@@ -270,7 +272,7 @@
             or finding.is_known
             or self._may_have_run_elsewhere
         )
-        is_certain = finding.knows_all or (
+        is_certain = finding.covers_all_spending or (
             finding.is_certain and not (may_have_run or finding.has_gone_on)
         )
         may_begin = finding.is_answered and not finding.is_deferred
@@ -280,12 +282,12 @@
             self._close(refusals.Refusal.JOURNAL_UNAVAILABLE)
             return
         self._tried_offline_budget = True
-        journal.accounts.begin_home(
+        journal.accounts.start_offline_account(
             self._program,
             self._facts.ceiling,
             self._facts.budget,
             max(finding.charged, journal.charged(self._program)),
-            finding.home_tokens,
+            finding.offline_tokens,
             is_certain,
         )
         self._open()
--- a/postspring/forwarding/certainty.py
+++ b/postspring/forwarding/certainty.py
@@ -9,7 +9,7 @@
 import enum
 import math
 
-__all__ = ["Certainty", "Doubt", "doubts_of", "told_age"]
+__all__ = ["Certainty", "Doubt", "find_doubts", "loggable_age"]
 
 
 class Doubt(enum.Enum):
@@ -67,18 +67,18 @@
     doubts: tuple[Doubt, ...] = ()
 
 
-def told_age(age: float) -> float | None:
+def loggable_age(age: float) -> float | None:
     """Return an age for log lines; None if infinite, which JSON lacks.
 
     Examples
     --------
-    >>> told_age(1.2345), told_age(float("inf"))
+    >>> loggable_age(1.2345), loggable_age(float("inf"))
     (1.23, None)
     """
     return round(age, 2) if math.isfinite(age) else None
 
 
-def doubts_of(
+def find_doubts(
     age: float, bound: float, is_readable: bool = True
 ) -> tuple[Doubt, ...]:
     """Return the reasons why a view may be incomplete.
@@ -104,11 +104,11 @@
 
     Examples
     --------
-    >>> doubts_of(1.4, bound=2.0)
+    >>> find_doubts(1.4, bound=2.0)
     ()
-    >>> doubts_of(2.1, bound=2.0, is_readable=False)
+    >>> find_doubts(2.1, bound=2.0, is_readable=False)
     (<Doubt.OLD: 'old'>, <Doubt.UNREADABLE: 'unreadable'>)
-    >>> doubts_of(float("inf"), bound=2.0)
+    >>> find_doubts(float("inf"), bound=2.0)
     (<Doubt.LOG_UNHEARD: 'log_unheard'>,)
     """
     doubts = []
--- a/postspring/forwarding/delivery.py
+++ b/postspring/forwarding/delivery.py
@@ -10,13 +10,13 @@
 
 from postspring import errors
 from postspring.forwarding import attempts as attempts_module
-from postspring.forwarding import choice
-from postspring.forwarding import dispatch
+from postspring.forwarding import delivery_context
 from postspring.forwarding import event_splitter
-from postspring.forwarding import pace
+from postspring.forwarding import outbound_call
 from postspring.forwarding import ports
 from postspring.forwarding import refusals
 from postspring.forwarding import silence_timer
+from postspring.forwarding import stream_pace
 from postspring.forwarding import stream_position
 from postspring import routing
 from postspring import transport
@@ -49,30 +49,30 @@
 
     def __init__(
         self,
-        dispatcher: dispatch.Dispatcher,
-        outbound: choice.OutboundCall,
+        context: delivery_context.DeliveryContext,
+        outbound: outbound_call.OutboundCall,
         route: routing.Route,
         deadline: float,
-        receiver: dispatch.Receiver,
+        receiver: delivery_context.Receiver,
     ):
-        self._dispatcher = dispatcher
+        self._context = context
         self._outbound_call = outbound
         self._route = route
         self._deadline = deadline
         self._receiver = receiver
         self._phase = _Phase.WAITING
-        self._service = route.choose_service(dispatcher.draw())
+        self._service = route.choose_service(context.draw())
         self._exchange: transport.Exchange | None = None
         self._status = 0
-        self._answer = ports.AnswerFacts()
+        self._answer = ports.ResponseFacts()
         self._buffer = bytearray()
         self._splitter = event_splitter.EventSplitter()
-        self._pace = pace.StreamPace()
+        self._pace = stream_pace.StreamPace()
         self._position = stream_position.StreamPosition(
-            dispatcher.wire.decode_event
+            context.wire.decode_event
         )
         self._silence_timer = silence_timer.SilenceTimer(
-            dispatcher.timers,
+            context.timers,
             None if outbound.only else silence_timer.silence_timeout_of(route),
             self._on_silence,
         )
@@ -91,12 +91,12 @@
 
     def start(self) -> None:
         """Start the first attempt and the deadline timer."""
-        remaining = self._deadline - self._dispatcher.timers.now()
-        self._timer = self._dispatcher.timers.call_later(
+        remaining = self._deadline - self._context.timers.now()
+        self._timer = self._context.timers.call_later(
             max(0.0, remaining), self._on_deadline
         )
         if self._route.may_repeat and self._outbound_call.only is None:
-            self._dispatcher.slow_retry_budget.deposit()
+            self._context.slow_retry_budget.deposit()
         self._send()
 
     def cancel(self) -> None:
@@ -109,7 +109,7 @@
 
     def detach(self) -> None:
         """Let the upstream finish; the receiver gets no further callbacks."""
-        self._receiver = dispatch.Receiver()
+        self._receiver = delivery_context.Receiver()
 
     def conclude(self) -> None:
         """Report the end of the call now, as this VM is about to stop."""
@@ -128,7 +128,7 @@
 
     def _send(self) -> None:
         upstream = self._outbound_call.choose(
-            self._dispatcher, self._service, self.attempts.tried
+            self._context, self._service, self.attempts.tried
         )
         if upstream is None:
             self._give_up(self._refusal_without_upstream())
@@ -141,12 +141,10 @@
         self._status = 0
         self._buffer.clear()
         self._splitter = event_splitter.EventSplitter()
-        self._pace = pace.StreamPace()
+        self._pace = stream_pace.StreamPace()
         self._silence_timer.start()
-        self._sent_at = self._dispatcher.timers.now()
-        self._exchange = self._dispatcher.http.send(
-            self._request(upstream), self
-        )
+        self._sent_at = self._context.timers.now()
+        self._exchange = self._context.http.send(self._request(upstream), self)
 
     def _on_silence(self) -> None:
         """Retry the call at another upstream, as the current one is silent.
@@ -159,42 +157,42 @@
             return
         if self.attempts.is_last_attempt:
             return
-        others = self._dispatcher.directory.usable(self._service)
+        others = self._context.directory.usable(self._service)
         if all(item.incarnation in self.attempts.tried for item in others):
             return
-        if not self._dispatcher.slow_retry_budget.take():
+        if not self._context.slow_retry_budget.take():
             return
         self._exchange.cancel()
         self._release_upstream()
-        self.upstream.note_failure(self._dispatcher.timers.now())
+        self.upstream.note_failure(self._context.timers.now())
         self.attempts.note_run()
         self._retry("slow", refusals.Refusal.UNKNOWN_OUTCOME)
 
     def _refusal_without_upstream(self) -> refusals.Refusal:
         if_not_run = refusals.Refusal.NO_UPSTREAM
-        if self._dispatcher.directory.is_out_of_reach(self._service):
+        if self._context.directory.is_service_unreachable(self._service):
             if_not_run = refusals.Refusal.UPSTREAMS_UNREACHABLE
         return self.attempts.final_refusal(if_not_run)
 
     def _request(self, upstream: upstreams.Upstream) -> transport.HttpRequest:
         extra = ports.UpstreamExtra(
-            self._deadline - self._dispatcher.timers.now(),
+            self._deadline - self._context.timers.now(),
             last_event=self._position.last_event,
             weights=self._position.weights,
         )
-        return self._outbound_call.request(self._dispatcher, upstream, extra)
+        return self._outbound_call.request(self._context, upstream, extra)
 
     # -- callbacks of the exchange --------------------------------------------
 
     def head(self, status: int, headers: dict[str, str]) -> None:
         """Handle the status line and header fields of the answer."""
-        self.upstream.note_answer(self._dispatcher.timers.now())
+        self.upstream.note_answer(self._context.timers.now())
         self._status = status
-        self._answer = self._dispatcher.wire.decode_answer(status, headers)
+        self._answer = self._context.wire.decode_response(status, headers)
 
     def data(self, chunk: bytes) -> None:
         """Handle a part of the answer's body."""
-        self.upstream.note_answer(self._dispatcher.timers.now())
+        self.upstream.note_answer(self._context.timers.now())
         if self._is_stream:
             self._relay(self._splitter.feed(chunk))
         else:
@@ -224,11 +222,11 @@
 
     def _count_failure(self, error: errors.TransportError) -> None:
         """Count a failure of the upstream, or mark it as unreachable."""
-        now = self._dispatcher.timers.now()
+        now = self._context.timers.now()
         if error.sent and error.is_broken:
-            self.upstream.note_break(self._sent_at, now)
+            self.upstream.note_broken_call(self._sent_at, now)
         if error.is_unreachable:
-            self._dispatcher.directory.note_unreachable(self.upstream)
+            self._context.directory.note_unreachable(self.upstream)
         else:
             self.upstream.note_failure(now)
 
@@ -254,12 +252,12 @@
             self._release_upstream()
             self._report_broken("out_of_order")
             return
-        self._pace.note_events(len(events), self._dispatcher.timers.now())
+        self._pace.note_events(len(events), self._context.timers.now())
         self._receiver.stream_events(events)
 
     def _end_stream(self) -> None:
         self.upstream.note_success()
-        self._pace.report_to(self.upstream, self._dispatcher.timers.now())
+        self._pace.report_to(self.upstream, self._context.timers.now())
         if not self._splitter.is_between_events:
             self._handle_break("cut_event", "cut_event")
         elif not self._has_started:
@@ -294,7 +292,7 @@
     def _end_answer(self) -> None:
         self.attempts.note_run()
         if self._status >= SERVER_ERROR and self._status != GATEWAY_TIMEOUT:
-            self.upstream.note_failure(self._dispatcher.timers.now())
+            self.upstream.note_failure(self._context.timers.now())
         else:
             self.upstream.note_success()
         if self._has_started:
@@ -334,12 +332,12 @@
         self, reason: str, if_not_run: refusals.Refusal, detail: str = ""
     ) -> None:
         """Send the call again if that is allowed, or give up."""
-        if not self.attempts.allows_retry(self._dispatcher.timers.now()):
+        if not self.attempts.allows_retry(self._context.timers.now()):
             self._give_up(
                 self.attempts.final_refusal(if_not_run), detail or reason
             )
             return
-        self._dispatcher.metrics.retries.add(1, {"reason": reason})
+        self._context.metrics.retries.add(1, {"reason": reason})
         self.resumed += self._has_started
         self._phase = _Phase.WAITING
         self._send()
@@ -347,8 +345,8 @@
     def _on_deadline(self) -> None:
         """Give up at the deadline; a started stream gets a little longer."""
         if self._has_started:
-            self._timer = self._dispatcher.timers.call_later(
-                choice.DEADLINE_SLACK_SECONDS, self._on_stream_deadline
+            self._timer = self._context.timers.call_later(
+                outbound_call.DEADLINE_SLACK_SECONDS, self._on_stream_deadline
             )
             return
         timed_out = refusals.Refusal.TIMED_OUT_UNSENT
@@ -383,7 +381,7 @@
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in self._exchange.header_fields
         ]
-        return self._dispatcher.wire.caller_fields(raw, sealed=True)
+        return self._context.wire.caller_fields(raw, sealed=True)
 
     def _release_upstream(self) -> None:
         """Stop counting the call as in flight at the upstream."""
--- a/postspring/forwarding/dispatch.py
+++ b/postspring/forwarding/delivery_context.py
@@ -10,7 +10,7 @@
 from postspring import transport
 from postspring import upstreams
 
-__all__ = ["Dispatcher", "Receiver"]
+__all__ = ["DeliveryContext", "Receiver"]
 
 
 class Receiver:
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Dispatcher:
+class DeliveryContext:
     """Collaborators that all deliveries of a VM share.
 
     Parameters
--- a/postspring/forwarding/forwarder.py
+++ b/postspring/forwarding/forwarder.py
@@ -6,7 +6,7 @@
 from postspring.forwarding import admission as admission_module
 from postspring.forwarding import budgeted_call
 from postspring.forwarding import certainty as certainty_module
-from postspring.forwarding import dispatch
+from postspring.forwarding import delivery_context
 from postspring.forwarding import limits
 from postspring.forwarding import outcome as outcome_module
 from postspring.forwarding import plain
@@ -28,7 +28,7 @@
     Parameters
     ==========
 
-    dispatcher : Dispatcher
+    context : Dispatcher
         The collaborators that all deliveries share.
     journal : Journal
         Opens, records and settles turns.
@@ -39,7 +39,7 @@
         for log lines.
     peers : Peers
         The other VMs.
-    takes_work : callable
+    accepts_work : callable
         Returns whether a new call could be finished before this VM stops.
     routes_certainty : callable
         Returns the certainty that an unknown route or key does not exist.
@@ -51,12 +51,12 @@
 
     def __init__(
         self,
-        dispatcher: dispatch.Dispatcher,
+        context: delivery_context.DeliveryContext,
         journal: histories.Journal,
         current: Callable[[], routing.Snapshot | None],
         inputs: Callable[[], dict] = dict,
         peers: ports.Peers | None = None,
-        takes_work: Callable[[], bool] = lambda: True,
+        accepts_work: Callable[[], bool] = lambda: True,
         routes_certainty: Callable[[], certainty_module.Certainty] = lambda: (
             certainty_module.Certainty(0.0)
         ),
@@ -65,12 +65,12 @@
     ):
         peers = peers or ports.NoPeers()
         self._admission = admission or admission_module.Admission(
-            dispatcher.wire, peers
+            context.wire, peers
         )
         self._limiter = limiter or limits.NoLimiter()
         self._routes_certainty = routes_certainty
-        self._takes_work = takes_work
-        self._dispatcher = dispatcher
+        self._takes_work = accepts_work
+        self._context = context
         self._turn_services = budgeted_call.TurnServices(
             journal,
             peers,
@@ -80,13 +80,13 @@
 
     def handle(self, call: transport.IncomingCall) -> None:
         """Start the call, or refuse it."""
-        facts = self._dispatcher.wire.decode_call(call.header)
+        facts = self._context.wire.decode_call(call.header)
         snapshot = self._current()
         route = None
         if snapshot is not None:
             route = snapshot.table.find(call.header("Host"), call.target)
         outcome = outcome_module.Outcome(
-            call, facts, route, self._dispatcher.metrics, self._inputs()
+            call, facts, route, self._context.metrics, self._inputs()
         )
         refusal = None
         if snapshot is None:
@@ -101,81 +101,78 @@
             self._refuse(call, facts, outcome, refusal)
             return
         facts = dataclasses.replace(facts, rank=route.priority)
-        accepted = _Accepted(call, facts, route, snapshot, outcome)
+        routed = _RoutedCall(call, facts, route, snapshot, outcome)
         if snapshot.workspaces is None:
-            self._start(accepted)
+            self._start(routed)
         else:
-            self._admit(accepted)
+            self._admit(routed)
 
-    def _admit(self, accepted: "_Accepted") -> None:
+    def _admit(self, routed: "_RoutedCall") -> None:
         """Start a call if its key and its workspace's limit allow it."""
         found = self._admission.find(
-            accepted.call, accepted.route, accepted.snapshot.workspaces
+            routed.call, routed.route, routed.snapshot.workspaces
         )
         if found is refusals.Refusal.UNKNOWN_KEY:
             found = self._refuse_unknown(
-                accepted.outcome, found, refusals.Refusal.KEY_UNCERTAIN
+                routed.outcome, found, refusals.Refusal.KEY_UNCERTAIN
             )
         if isinstance(found, refusals.Refusal):
-            self._refuse(
-                accepted.call, accepted.facts, accepted.outcome, found
-            )
+            self._refuse(routed.call, routed.facts, routed.outcome, found)
             return
         name = "" if found is None else found.name
-        accepted.outcome.add(workspace=name)
-        facts = accepted.facts.within(name)
+        routed.outcome.add(workspace=name)
+        facts = routed.facts.within(name)
         if found is not None and found.priority is not None:
             facts = dataclasses.replace(facts, rank=found.priority)
-        accepted = dataclasses.replace(accepted, facts=facts)
+        routed = dataclasses.replace(routed, facts=facts)
         peers = self._turn_services.peers
-        is_counted = peers.is_relayed(accepted.call.header)
+        is_counted = peers.is_relayed(routed.call.header)
         needs_no_permit = found is None or found.limit is None or is_counted
-        if needs_no_permit or self._is_spent(accepted):
-            self._start(accepted)
+        if needs_no_permit or self._is_spent(routed):
+            self._start(routed)
             return
         # The caller may leave before the verdict; _on_verdict() checks that.
-        self._limiter.ask(
+        self._limiter.request_permit(
             found,
-            accepted.use,
-            lambda verdict: self._on_verdict(accepted, verdict),
+            routed.use,
+            lambda verdict: self._on_verdict(routed, verdict),
         )
 
-    def _is_spent(self, accepted: "_Accepted") -> bool:
+    def _is_spent(self, routed: "_RoutedCall") -> bool:
         """Whether the budget of a turn's program is spent.
 
         Such a turn is refused without a permit.  Otherwise a program that
         retries it in a loop would use up the limit of its workspace.
         """
-        facts = accepted.facts
-        return accepted.is_turn and self._turn_services.journal.is_spent(
-            facts.program, facts.ceiling, facts.budget
+        facts = routed.facts
+        return (
+            routed.is_turn
+            and self._turn_services.journal.is_budget_exhausted(
+                facts.program, facts.ceiling, facts.budget
+            )
         )
 
     def _on_verdict(
-        self, accepted: "_Accepted", verdict: limits.Verdict
+        self, routed: "_RoutedCall", verdict: limits.Verdict
     ) -> None:
-        if accepted.call.gone:
-            verdict.give_back()
-            accepted.outcome.report(
-                "caller_gone", self._dispatcher.timers.now()
-            )
+        if routed.call.gone:
+            verdict.release_permit()
+            routed.outcome.report("caller_gone", self._context.timers.now())
             return
         if verdict.is_granted:
-            accepted.outcome.call_if_not_run(verdict.give_back)
-            self._start(accepted)
+            routed.outcome.call_if_not_run(verdict.release_permit)
+            self._start(routed)
             return
-        accepted.outcome.add(**verdict.facts)
+        routed.outcome.add(**verdict.facts)
         refusal = refusals.Refusal.OVER_LIMIT
         if not verdict.is_known:
             refusal = refusals.Refusal.LIMIT_UNKNOWN
         relay.CallerRelay(
-            self._dispatcher, accepted.call, accepted.facts, accepted.outcome
+            self._context, routed.call, routed.facts, routed.outcome
         ).refuse(refusal, verdict.retry_after)
 
     def _refuse(self, call, facts, outcome, refusal) -> None:
-        relay.CallerRelay(self._dispatcher, call, facts, outcome).refuse(
-            refusal
-        )
+        relay.CallerRelay(self._context, call, facts, outcome).refuse(refusal)
 
     def _refuse_unknown(
         self,
@@ -192,32 +189,32 @@
         if not certainty.doubts:
             return if_certain
         outcome.add(
-            configuration_age=certainty_module.told_age(certainty.age),
+            configuration_age=certainty_module.loggable_age(certainty.age),
             doubts=[doubt.value for doubt in certainty.doubts],
         )
         return if_uncertain
 
-    def _start(self, accepted: "_Accepted") -> None:
-        if accepted.is_turn:
-            self._start_turn(accepted)
+    def _start(self, routed: "_RoutedCall") -> None:
+        if routed.is_turn:
+            self._start_turn(routed)
             return
         plain.PlainCall(
-            self._dispatcher,
-            accepted.call,
-            accepted.facts,
-            accepted.route,
-            accepted.deadline,
-            accepted.outcome,
+            self._context,
+            routed.call,
+            routed.facts,
+            routed.route,
+            routed.deadline,
+            routed.outcome,
         ).start()
 
-    def _start_turn(self, accepted: "_Accepted") -> None:
-        call, facts, route = accepted.call, accepted.facts, accepted.route
+    def _start_turn(self, routed: "_RoutedCall") -> None:
+        call, facts, route = routed.call, routed.facts, routed.route
         if not facts.program:
             single_turn_program = histories.ProgramId(f"-{facts.turn}")
             facts = dataclasses.replace(facts, program=single_turn_program)
         if not histories.fits_key(facts.program, facts.turn):
             self._refuse(
-                call, facts, accepted.outcome, refusals.Refusal.ID_TOO_LONG
+                call, facts, routed.outcome, refusals.Refusal.ID_TOO_LONG
             )
             return
         turn_type = turn_call.TurnCall
@@ -226,19 +223,19 @@
             facts = dataclasses.replace(facts, previous=None)
             turn_type = budgeted_call.BudgetedCall
         turn_type(
-            self._dispatcher,
+            self._context,
             self._turn_services,
             call,
             facts,
             route,
-            accepted.snapshot.tokens_per_event(route),
-            accepted.deadline,
-            accepted.outcome,
+            routed.snapshot.tokens_per_event(route),
+            routed.deadline,
+            routed.outcome,
         ).start()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Accepted:
+class _RoutedCall:
     """A call, its route and the configuration that contains the route."""
 
     call: transport.IncomingCall
@@ -252,13 +249,13 @@
         return self.route.has_programs and bool(self.facts.request)
 
     @property
-    def use(self) -> quotas.Use:
+    def use(self) -> quotas.PermitUse:
         """The use of the permit that the call needs."""
         if not self.is_turn:
-            return quotas.Use.PLAIN_CALL
+            return quotas.PermitUse.PLAIN_CALL
         if self.route.keeps_history and self.facts.previous is None:
-            return quotas.Use.BEGINS_PROGRAM
-        return quotas.Use.GOES_ON
+            return quotas.PermitUse.BEGINS_PROGRAM
+        return quotas.PermitUse.CONTINUES_PROGRAM
 
     @property
     def deadline(self) -> float:
--- a/postspring/forwarding/limits.py
+++ b/postspring/forwarding/limits.py
@@ -21,32 +21,32 @@
         A quota allocator of the workspace has answered.
     retry_after : float or None
         Seconds after which a retry may be allowed.
-    dealers : int
+    allocators : int
         Number of quota allocators that were asked.
-    give_back : callable
+    release_permit : callable
         Returns the permit; called if the call did not run and never will.
     """
 
     is_granted: bool
     is_known: bool = True
     retry_after: float | None = None
-    dealers: int = 0
-    give_back: Callable[[], None] = lambda: None
+    allocators: int = 0
+    release_permit: Callable[[], None] = lambda: None
 
     @property
     def facts(self) -> dict:
         """The basis of the decision, for the log line."""
-        return {"limit_known": self.is_known, "dealers": self.dealers}
+        return {"limit_known": self.is_known, "dealers": self.allocators}
 
 
 class Limiter(abc.ABC):
     """Checks calls against the limits of their workspaces."""
 
     @abc.abstractmethod
-    def ask(
+    def request_permit(
         self,
         workspace: workspaces.Workspace,
-        use: quotas.Use,
+        use: quotas.PermitUse,
         on_done: Callable[[Verdict], None],
     ) -> None:
         """Request a permit; call ``on_done`` now or later with the verdict."""
@@ -55,6 +55,6 @@
 class NoLimiter(Limiter):
     """Allows all calls."""
 
-    def ask(self, workspace, use, on_done) -> None:
+    def request_permit(self, workspace, use, on_done) -> None:
         """Allow the call."""
         on_done(Verdict(True))
--- a/postspring/forwarding/choice.py
+++ b/postspring/forwarding/outbound_call.py
@@ -4,7 +4,7 @@
 import dataclasses
 import random
 
-from postspring.forwarding import dispatch
+from postspring.forwarding import delivery_context
 from postspring.forwarding import ports
 from postspring import transport
 from postspring import upstreams
@@ -40,13 +40,13 @@
 
 
 def choose_upstream(
-    dispatcher: dispatch.Dispatcher,
+    context: delivery_context.DeliveryContext,
     service: str,
     tried: Collection[str],
     placement_request: PlacementRequest,
 ) -> upstreams.Upstream | None:
     """Return an upstream, preferably one that was not tried yet."""
-    directory = dispatcher.directory
+    directory = context.directory
     candidates = directory.usable(service)
     if not candidates:
         candidates = directory.last_resort(service)
@@ -55,7 +55,7 @@
     if not candidates:
         return None
     random.shuffle(candidates)
-    return dispatcher.placement.choose(placement_request, candidates)
+    return context.placement.choose(placement_request, candidates)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -82,7 +82,7 @@
 
     def choose(
         self,
-        dispatcher: dispatch.Dispatcher,
+        context: delivery_context.DeliveryContext,
         service: str,
         tried: Collection[str],
     ) -> upstreams.Upstream | None:
@@ -92,14 +92,14 @@
         placement_request = PlacementRequest(
             self.preferred,
             self.facts.affinity_key,
-            dispatcher.data_center,
-            dispatcher.timers.now(),
+            context.data_center,
+            context.timers.now(),
         )
-        return choose_upstream(dispatcher, service, tried, placement_request)
+        return choose_upstream(context, service, tried, placement_request)
 
     def request(
         self,
-        dispatcher: dispatch.Dispatcher,
+        context: delivery_context.DeliveryContext,
         upstream: upstreams.Upstream,
         extra: ports.UpstreamExtra,
     ) -> transport.HttpRequest:
@@ -110,10 +110,10 @@
         extra : UpstreamExtra
             Values that the delivery adds to the caller's header fields.
         """
-        wire = dispatcher.wire
+        wire = context.wire
 
-        def is_answer(headers: dict[str, str]) -> bool:
-            answered = wire.decode_answer(0, headers).request
+        def is_own_response(headers: dict[str, str]) -> bool:
+            answered = wire.decode_response(0, headers).request
             return answered in ("", self.facts.request)
 
         caller_fields = [
@@ -124,7 +124,7 @@
         full_extra = dataclasses.replace(
             extra,
             upstream=upstream.id,
-            urgency=dispatcher.urgency.of(self.facts.rank),
+            urgency=context.urgency.of(self.facts.rank),
             workspace=self.facts.workspace,
         )
         fields = wire.upstream_fields(caller_fields, full_extra)
@@ -136,5 +136,5 @@
             headers=(*fields, *self.extra_fields),
             connect_timeout=CONNECT_TIMEOUT_SECONDS,
             timeout=max(0.0, extra.remaining) + 2 * DEADLINE_SLACK_SECONDS,
-            is_answer=is_answer,
+            is_own_response=is_own_response,
         )
--- a/postspring/forwarding/plain.py
+++ b/postspring/forwarding/plain.py
@@ -1,8 +1,8 @@
 """Plain calls, which are forwarded without a record in the log."""
 
-from postspring.forwarding import choice
 from postspring.forwarding import delivery as delivery_module
-from postspring.forwarding import dispatch
+from postspring.forwarding import delivery_context
+from postspring.forwarding import outbound_call
 from postspring.forwarding import outcome as outcome_module
 from postspring.forwarding import ports
 from postspring.forwarding import refusals
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        dispatcher: dispatch.Dispatcher,
+        context: delivery_context.DeliveryContext,
         call: transport.IncomingCall,
         facts: ports.CallFacts,
         route: routing.Route,
@@ -35,16 +35,18 @@
         outcome: outcome_module.Outcome,
         **options,
     ):
-        super().__init__(dispatcher, call, facts, outcome)
+        super().__init__(context, call, facts, outcome)
         self._route = route
-        outbound = choice.OutboundCall(call, facts, call.body, **options)
+        outbound = outbound_call.OutboundCall(
+            call, facts, call.body, **options
+        )
         self.delivery = delivery_module.Delivery(
-            dispatcher, outbound, route, deadline, self
+            context, outbound, route, deadline, self
         )
 
     def start(self) -> None:
         """Send the call to an upstream."""
-        self._call.on_gone = self._on_caller_gone
+        self._call.on_disconnect = self._on_caller_gone
         self.delivery.start()
 
     def stream_ended(self) -> None:
--- a/postspring/forwarding/ports.py
+++ b/postspring/forwarding/ports.py
@@ -15,7 +15,7 @@
 from postspring import workspaces
 
 __all__ = [
-    "AnswerFacts",
+    "ResponseFacts",
     "CallFacts",
     "EventFacts",
     "Finding",
@@ -105,7 +105,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerFacts:
+class ResponseFacts:
     """Data in the header fields of an upstream's answer.
 
     Parameters
@@ -190,14 +190,14 @@
 
     ``TAKER``: find a VM that can run the turn.  ``TURN``: find out whether
     the turn exists; the list of VMs is read first, as a VM may have joined.
-    ``HOME``: find out whether an offline budget of the program may be
+    ``OFFLINE``: find out whether an offline budget of the program may be
     opened here while the log is away.  ``UNSETTLED``: find the tokens that
     other VMs spent and the log does not charge yet.
     """
 
     TAKER = "taker"
     TURN = "turn"
-    HOME = "home"
+    OFFLINE = "home"
     UNSETTLED = "unsettled"
 
 
@@ -235,13 +235,13 @@
     charged : int
         Tokens that records charge to the program, as far as these VMs have
         read them.
-    home_tokens : int
+    offline_tokens : int
         Tokens in offline budgets of the program at other VMs, including
         spent ones that the log does not charge yet.
     unsettled : dict
         Tokens of turns that ran on offline budgets, by turn; the log may
         not charge them yet.
-    home_left : int
+    offline_tokens_left : int
         Tokens that offline budgets may still spend.
     """
 
@@ -256,11 +256,11 @@
     is_deferred: bool = False
     is_known_turn: bool = False
     charged: int = 0
-    home_tokens: int = 0
+    offline_tokens: int = 0
     unsettled: dict[histories.TurnId, int] = dataclasses.field(
         default_factory=dict
     )
-    home_left: int = 0
+    offline_tokens_left: int = 0
 
     @property
     def facts(self) -> list[str]:
@@ -285,7 +285,7 @@
         return [*names, *(doubt.value for doubt in self.doubts)]
 
     @property
-    def knows_all(self) -> bool:
+    def covers_all_spending(self) -> bool:
         """Whether the answers cover all tokens that VMs may have spent."""
         return not set(self.doubts) - _DOUBTS_IGNORED_OFFLINE
 
@@ -294,7 +294,7 @@
     """Queries to the other VMs, and relaying of requests."""
 
     # Whether callers should connect to another data centre for now.
-    send_away: bool = False
+    callers_should_retry: bool = False
 
     @abc.abstractmethod
     def find(
@@ -305,7 +305,7 @@
     ) -> None:
         """Query the other VMs about a turn's program and its chain."""
 
-    def may_owe(self, program: histories.ProgramId) -> bool:
+    def may_have_uncharged_turns(self, program: histories.ProgramId) -> bool:
         """Return whether other VMs may have spent tokens not yet charged."""
         return False
 
@@ -350,9 +350,9 @@
         """Return the header fields to send to an upstream."""
 
     @abc.abstractmethod
-    def decode_answer(
+    def decode_response(
         self, status: int, headers: dict[str, str]
-    ) -> AnswerFacts:
+    ) -> ResponseFacts:
         """Return the data of an answer; header names are in lower case."""
 
     @abc.abstractmethod
--- a/postspring/forwarding/relay.py
+++ b/postspring/forwarding/relay.py
@@ -1,7 +1,7 @@
 """Base class of the receivers that answer a caller."""
 
 from postspring.forwarding import delivery as delivery_module
-from postspring.forwarding import dispatch
+from postspring.forwarding import delivery_context
 from postspring.forwarding import outcome as outcome_module
 from postspring.forwarding import ports
 from postspring.forwarding import refusals
@@ -10,22 +10,22 @@
 __all__ = ["CallerRelay"]
 
 
-class CallerRelay(dispatch.Receiver):
+class CallerRelay(delivery_context.Receiver):
     """Relays an upstream's answer to the caller."""
 
     def __init__(
         self,
-        dispatcher: dispatch.Dispatcher,
+        context: delivery_context.DeliveryContext,
         call: transport.IncomingCall,
         facts: ports.CallFacts,
         outcome: outcome_module.Outcome,
     ):
-        self._dispatcher = dispatcher
+        self._context = context
         self._call = call
         self._facts = facts
         self._outcome = outcome
         self._status = 0
-        call.on_out_of_time = self.conclude
+        call.on_shutdown_deadline = self.conclude
         self.delivery: delivery_module.Delivery | None = None
 
     def answered(self, status: int, fields: list, body: bytes) -> None:
@@ -58,16 +58,16 @@
         retry_after : float or None
             Seconds that replace the refusal's own ``retry_after``.
         """
-        now = self._dispatcher.timers.now()
+        now = self._context.timers.now()
         remaining = None
         if self._facts.deadline is not None:
             remaining = self._call.received_at + self._facts.deadline - now
-        fields = self._dispatcher.wire.own_fields(
+        fields = self._context.wire.own_fields(
             self._facts.request,
             refusal.retry_after_within(remaining, retry_after),
         )
         if refusal is refusals.Refusal.CUT_OFF:
-            self._call.close_after = True
+            self._call.close_after_response = True
         self._call.respond(refusal.status, fields)
         self._add_delivery()
         self._outcome.report_refusal(refusal, now)
@@ -80,7 +80,7 @@
     def report(self, outcome: str, **fields) -> None:
         """Log and count the call's outcome."""
         self._add_delivery()
-        now = self._dispatcher.timers.now()
+        now = self._context.timers.now()
         self._outcome.report(outcome, now, status=self._status, **fields)
 
     def _add_delivery(self) -> None:
--- a/postspring/forwarding/tests/test_certainty.py
+++ b/postspring/forwarding/tests/test_certainty.py
@@ -11,7 +11,7 @@
 
     def doubts(self, age, **other):
         """Return the doubts for a view's age and a bound of 2 s."""
-        return forwarding.doubts_of(age, 2.0, **other)
+        return forwarding.find_doubts(age, 2.0, **other)
 
     def test_no_doubt_up_to_the_bound(self):
         self.assertEqual((), self.doubts(0.0))
--- a/postspring/forwarding/turn_call.py
+++ b/postspring/forwarding/turn_call.py
@@ -4,8 +4,8 @@
 
 from postspring.forwarding import budgeted_call
 from postspring.forwarding import certainty
-from postspring.forwarding import choice
 from postspring.forwarding import event_splitter
+from postspring.forwarding import outbound_call
 from postspring.forwarding import ports
 from postspring.forwarding import refusals
 from postspring import histories
@@ -74,9 +74,9 @@
         else:
             self._query_peers(self._refuse_unavailable)
 
-    def _outbound_call(self) -> choice.OutboundCall:
+    def _outbound_call(self) -> outbound_call.OutboundCall:
         body = b"".join((*self._chain.parts, self._call.body))
-        return choice.OutboundCall(
+        return outbound_call.OutboundCall(
             self._call, self._facts, body, self._chain.upstream
         )
 
@@ -146,7 +146,7 @@
         The deadline bounds the wait for the record: without it, an answer
         stayed open until one side closed the connection.
         """
-        left = self._deadline - self._dispatcher.timers.now()
+        left = self._deadline - self._context.timers.now()
         self._complete_now = self._journal.complete_turn(
             self._ticket,
             self._chain.head,
@@ -173,7 +173,7 @@
     def _turn_completed(self, kept_by: str) -> None:
         if self._closed:
             return
-        if kept_by == histories.NOWHERE:
+        if kept_by == histories.LOCAL_ONLY:
             # The log may still accept the record, but that is not certain.
             self._abort_answer("unrecorded")
             return
--- a/postspring/front/callers_report.py
+++ b/postspring/front/connection_reporter.py
@@ -42,10 +42,10 @@
             extra={"status": status},
         )
 
-    def report_cut(self, cut: transport.Cut) -> None:
+    def report_cut(self, cut: transport.InterruptedResponse) -> None:
         """Report a connection that ended before its answer was delivered."""
         ended_by = cut.ended_by.value
-        self._metrics.cuts.add(1, {"ended_by": ended_by})
+        self._metrics.interrupted_responses.add(1, {"ended_by": ended_by})
         request = ""
         if cut.call is not None:
             request = self._wire.decode_call(cut.call.header).request
--- a/postspring/front/upstream_watch.py
+++ b/postspring/front/directory_updater.py
@@ -69,7 +69,7 @@
             if announcement is not None:
                 self._directory.announce(announcement)
             else:
-                self._directory.hold_back(upstream)
+                self._directory.mark_unreadable(upstream)
 
     def _decode_entry(
         self, entry: keyedlog.LogEntry
--- a/postspring/front/followers.py
+++ b/postspring/front/followers.py
@@ -5,9 +5,9 @@
 
 from postspring import forwarding
 from postspring.front import configuration as configuration_module
+from postspring.front import directory_updater
 from postspring.front import read_budget
-from postspring.front import upstream_list
-from postspring.front import upstream_watch
+from postspring.front import upstream_follower
 from postspring import keyedlog
 from postspring import peering
 from postspring import platform
@@ -46,7 +46,7 @@
         Receives the records of the upstreams.
     members : callable
         Returns the member list of VMs.
-    ask_view : callable
+    request_view : callable
         Requests the view of a log partition from other VMs.
     is_collecting : callable
         Returns whether this VM relays the log's confirmations to others.
@@ -59,9 +59,9 @@
         vm: platform.VmSettings,
         current_configuration: configuration_module.CurrentConfiguration,
         directory: upstreams.Directory,
-        updater: upstream_watch.DirectoryUpdater,
+        updater: directory_updater.DirectoryUpdater,
         members: Callable[[], peering.Members],
-        ask_view: keyedlog.AskOthers,
+        request_view: keyedlog.RequestView,
         is_collecting: Callable[[], bool],
     ):
         self._current_configuration = current_configuration
@@ -78,16 +78,16 @@
                 self._max_wait,
                 COLLECTOR_WAIT_SECONDS if is_collecting() else math.inf,
             ),
-            ask_others=ask_view,
+            request_view=request_view,
         )
-        self._upstream_follower = upstream_list.UpstreamFollower(
+        self._upstream_follower = upstream_follower.UpstreamFollower(
             log,
             timers,
             vm.drain,
             vm.heartbeat,
             directory,
             updater,
-            ask_view,
+            request_view,
             self.configuration.read_now,
         )
         self.upstreams = self._upstream_follower.follower
@@ -101,13 +101,13 @@
         """Return what a decision is based on, for its log line."""
         return {
             "configuration": self._current_configuration.version,
-            "upstreams_age": forwarding.told_age(self.upstreams.age),
+            "upstreams_age": forwarding.loggable_age(self.upstreams.age),
         }
 
     def routes_certainty(self) -> forwarding.Certainty:
         """Return how certain it is that this VM has the newest routes."""
         age = self.configuration.age
-        doubts = forwarding.doubts_of(
+        doubts = forwarding.find_doubts(
             age,
             self._configuration_bound,
             self._current_configuration.is_newest_readable,
--- a/postspring/front/gauges.py
+++ b/postspring/front/gauges.py
@@ -30,41 +30,41 @@
     callers : HttpServer
         Receives callers' requests.
     """
-    metrics.observe(
+    metrics.add_gauge(
         "configuration_age_seconds",
         "Seconds since when versions may be missing here",
         lambda: configuration.age,
     )
-    metrics.observe(
+    metrics.add_gauge(
         "upstreams_age_seconds",
         "Seconds since when entries of upstreams may be missing here",
         lambda: upstreams.age,
     )
-    metrics.observe(
+    metrics.add_gauge(
         "upstream_connections_opened",
         "Connections opened to upstreams",
         lambda: http.connections_opened,
     )
-    metrics.observe(
+    metrics.add_gauge(
         "held_turns",
         "Whole turns whose records the log lacks",
         lambda: journal.held,
     )
-    metrics.observe(
+    metrics.add_gauge(
         "connections_without_room",
         "Connections that had to wait or were not opened, for want of files",
         lambda: http.hub.shortage.count + callers.hub.shortage.count,
     )
-    metrics.observe(
+    metrics.add_gauge(
         "pauses",
         "How often the process stood still for longer than callers notice",
         lambda: timers.pauses,
     )
-    metrics.observe(
+    metrics.add_gauge(
         "paused_seconds",
         "How long the process stood still in all",
         lambda: timers.paused_seconds,
     )
-    metrics.observe(
+    metrics.add_gauge(
         "processor_seconds", "Processor time used", time.process_time
     )
--- a/postspring/front/node.py
+++ b/postspring/front/node.py
@@ -9,15 +9,15 @@
 from circuits.core import pollers
 
 from postspring import forwarding
-from postspring.front import callers_report
 from postspring.front import completeness
 from postspring.front import configuration
+from postspring.front import connection_reporter
+from postspring.front import directory_updater
 from postspring.front import followers
 from postspring.front import gauges
-from postspring.front import leaving
+from postspring.front import graceful_leave
 from postspring.front import settings as settings_module
 from postspring.front import shutdown
-from postspring.front import upstream_watch
 from postspring import histories
 from postspring import metrics as metrics_module
 from postspring import peering
@@ -71,7 +71,10 @@
         self.http = transport.HttpClient(self._hub, self.timers)
         self._peer_http = transport.HttpClient(self._hub, self.timers)
         self.store = platform.Store(
-            self._peer_http, vm.store, vm.partitions, self.metrics.store_called
+            self._peer_http,
+            vm.store,
+            vm.partitions,
+            self.metrics.count_store_call,
         )
         self.log = peering.FailoverLog(
             self.store,
@@ -94,7 +97,7 @@
             self.timers,
             self.incarnation,
             catch_up_rate=self._catch_up_rate,
-            sizes=histories.Sizes(vm.record_bytes, vm.call_bytes),
+            sizes=histories.SizeLimits(vm.record_bytes, vm.call_bytes),
         )
         self._started_at = self.timers.now()
         self._caller_limits = transport.ServerLimits.within(vm.max_files)
@@ -102,7 +105,7 @@
         self._create_servers()
         self._create_peering()
         self._create_forwarding(settings)
-        self.graceful_leave = leaving.GracefulLeave(
+        self.graceful_leave = graceful_leave.GracefulLeave(
             self.timers, self.journal, self.members, self._has_all_recent_turns
         )
         self.shutdown = shutdown.Shutdown(
@@ -129,7 +132,7 @@
         self.loads.start()
         self.permits.start()
         self.followers.start()
-        self.journal.hand_over_while(lambda: self.shutdown.is_stopping)
+        self.journal.start_handover(lambda: self.shutdown.is_stopping)
 
     def reconfigure(self, vm: platform.VmSettings) -> None:
         """Apply changed settings, except those that need a restart."""
@@ -146,7 +149,7 @@
         )
         kept = {name: getattr(self.vm, name) for name in restart}
         self.vm = dataclasses.replace(vm, **kept)
-        self.store.move_to(vm.store)
+        self.store.set_address(vm.store)
         self.shutdown.grace = vm.grace
 
     @property
@@ -169,10 +172,10 @@
     # -- parts ----------------------------------------------------------------
 
     def _create_followers(self) -> None:
-        updater = upstream_watch.DirectoryUpdater(
+        updater = directory_updater.DirectoryUpdater(
             self.directory,
             platform.decode_announcement,
-            self.metrics.entry_refused,
+            self.metrics.count_unreadable_entry,
         )
         self.followers = followers.Followers(
             self.log,
@@ -188,7 +191,7 @@
 
     def _create_servers(self) -> None:
         default_limits = transport.ServerLimits()
-        reporter = callers_report.ConnectionReporter(
+        reporter = connection_reporter.ConnectionReporter(
             self.metrics, platform.PlatformWireFormat()
         )
         self.callers = transport.HttpServer(
@@ -226,18 +229,18 @@
             self.vm.seeds,
             self._request_view,
         )
-        promises = peering.Promises(self.vm.vm, self.timers.now)
+        leases = peering.ProgramLeases(self.vm.vm, self.timers.now)
         self.isolation = peering.Isolation(
             self._peer_http,
             self.timers,
             self.members,
-            lambda: self.log.is_direct,
-            lambda: self.log.silence,
+            lambda: self.log.has_direct_path,
+            lambda: self.log.silent_seconds,
         )
         self.peer_client = peering.PeerClient(
             self._peer_http,
             self.members,
-            promises,
+            leases,
             self._has_all_recent_turns,
             self.isolation,
             self.timers,
@@ -257,19 +260,19 @@
             self._find_workspace,
             self.vm.data_centers,
             self.vm.limit_span,
-            lambda: self.shutdown.takes_work,
+            lambda: self.shutdown.accepts_work,
         )
         self._peer_service = peering.PeerService(
             self.journal,
-            self.store.pass_on,
-            promises,
+            self.store.relay_call,
+            leases,
             self._has_all_recent_turns,
             self.followers.view_of,
-            self.members.introduce,
-            takes_copies=lambda: not self.shutdown.is_stopping,
-            is_direct=lambda: self.log.is_direct,
+            self.members.add_member,
+            accepts_replicas=lambda: not self.shutdown.is_stopping,
+            has_direct_path=lambda: self.log.has_direct_path,
             reaches_log=lambda: self.log.reaches_log,
-            takes_work=lambda: self.shutdown.takes_work,
+            accepts_work=lambda: self.shutdown.accepts_work,
             take_loads=self.loads.answer,
             permit=self.permits.answer,
         )
@@ -284,7 +287,7 @@
             lambda: self.followers.configuration.confirmed_age,
             self.vm.key_removal,
         )
-        dispatcher = forwarding.Dispatcher(
+        context = forwarding.DeliveryContext(
             self.http,
             self.timers,
             self.directory,
@@ -295,12 +298,12 @@
             urgency=scheduling.urgency_by_name[settings.urgency](),
         )
         self.forwarder = forwarding.Forwarder(
-            dispatcher,
+            context,
             self.journal,
             lambda: self.configuration.snapshot,
             self.followers.decision_inputs,
             self.peer_client,
-            lambda: self.shutdown.takes_work,
+            lambda: self.shutdown.accepts_work,
             self.followers.routes_certainty,
             self.admission,
             self.permits,
@@ -340,7 +343,7 @@
         snapshot = self.configuration.snapshot
         retention = 0.0 if snapshot is None else snapshot.longest_retention
         return completeness.has_all_recent_turns(
-            self.vm.first_start and self.members.is_first,
+            self.vm.first_start and self.members.is_first_of_name,
             self.timers.now() - self._started_at,
             self.members.listed_seconds,
             retention,
@@ -362,10 +365,10 @@
         shared it, 1.9 s were too short to catch up.
         """
         members = self.members
-        sharers = members.sharers
-        if self.isolation.was_isolated:
-            sharers = members.sharers_here
-        return CATCH_UP_SHARE * self.vm.store_writes / sharers
+        vm_count = members.vm_count
+        if self.isolation.is_or_was_isolated:
+            vm_count = members.local_vm_count
+        return CATCH_UP_SHARE * self.vm.store_writes / vm_count
 
     def _on_log_path_change(self) -> None:
         """Restart the configuration's long poll, which may hang.
@@ -375,13 +378,13 @@
         """
         self.followers.configuration.read_now()
         if not self.log.is_down:
-            self.journal.log_is_back()
+            self.journal.on_log_recovered()
 
     def _request_view(self, place, on_page) -> None:
         self.peer_client.ask_view(place, on_page)
 
     def _on_upstream_gone(self, upstream: upstreams.Upstream) -> None:
-        self.http.discard(upstream.address)
+        self.http.close_idle_connections(upstream.address)
 
     def _answer_readiness(self, call: transport.IncomingCall) -> None:
         call.respond(200 if self.is_ready else 503, [])
--- a/postspring/front/shutdown.py
+++ b/postspring/front/shutdown.py
@@ -94,7 +94,7 @@
         return self.phase is not Phase.SERVING
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether the VM still runs requests that arrive now.
 
         After the rotation period, a request on a connection that stayed open
@@ -132,7 +132,7 @@
         elif self.phase is Phase.LEAVING_ROTATION:
             if self._elapsed > ROTATION_SECONDS:
                 self.phase = Phase.DRAINING
-                self._callers.refuse_new()
+                self._callers.stop_accepting()
                 self._callers.close_idle()
         elif self.phase is Phase.DRAINING:
             self._drain()
@@ -154,8 +154,8 @@
             LOG.warning(
                 "grace period is ending", extra=self._remaining_counts()
             )
-            self._callers.refuse_new()
-        self._callers.give_up()
+            self._callers.stop_accepting()
+        self._callers.complete_now()
         self._callers.close_idle()
         if self._is_drained:
             self._end()
--- a/postspring/front/tests/test_bad_ids.py
+++ b/postspring/front/tests/test_bad_ids.py
@@ -20,11 +20,11 @@
 
     def test_program_continues_after_an_invalid_turn(self):
         self.fleet.take_turn("r" * 300)
-        self.assertTrue(self.fleet.take_turn("a").whole)
+        self.assertTrue(self.fleet.take_turn("a").complete)
 
     def test_ids_of_the_maximum_length(self):
         answer = self.fleet.take_turn("r" * 100, program_id="p" * 100)
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
 
     def test_oversized_previous_turn_is_not_found(self):
         answer = self.fleet.take_turn("a", previous_turn="r" * 300)
--- a/postspring/front/tests/test_carried.py
+++ b/postspring/front/tests/test_carried_conversations.py
@@ -24,7 +24,7 @@
 
     def settle(self):
         """Turn the loops until the log has all tokens that turns used."""
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: (
                 not any(node.journal.unrecorded for node in self.fleet.nodes)
             )
@@ -70,7 +70,7 @@
     def test_tokens_of_a_broken_turn_are_charged(self):
         self.fleet.engines[0].faults.cut = 1
         answer = self.take_turn("a", token_budget="19")
-        self.assertFalse(answer.whole)
+        self.assertFalse(answer.complete)
         answer = self.take_turn("b", token_budget="19")
         self.assertEqual(402, answer.status)
 
@@ -130,7 +130,7 @@
         # The VM has a reserve; the turn's end is recorded afterwards.
         self.fleet.store.silent = True
         answer = self.fleet.take_turn("b", route=self.route)
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         self.fleet.store.silent = False
 
     def test_turn_without_a_budget_is_charged(self):
@@ -140,10 +140,10 @@
 
     def test_stopping_vm_settles_first(self):
         answer = self.fleet.take_turn("a", route=self.route, token_budget="40")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         node = self.fleet.nodes[0]
         node.shutdown.begin()
-        self.fleet.turn_until(lambda: self.fleet.stopped)
+        self.fleet.run_loop_until(lambda: self.fleet.stopped)
         self.assertEqual(0, node.journal.unrecorded)
 
 
@@ -197,7 +197,7 @@
         super().setUp()
         self.fleet.start_vm("far", data_center="z2")
         for node in self.fleet.nodes:
-            self.fleet.turn_until(
+            self.fleet.run_loop_until(
                 lambda node=node: len(node.members.others) == 2
             )
 
@@ -211,10 +211,10 @@
                 member, peers=NOWHERE
             )
         for node in near:
-            self.fleet.turn_until(
+            self.fleet.run_loop_until(
                 lambda node=node: (
                     node.isolation.is_isolated
-                    and not node.isolation.sends_away
+                    and not node.isolation.callers_should_retry
                 )
             )
 
--- a/postspring/front/tests/test_changes.py
+++ b/postspring/front/tests/test_changes.py
@@ -12,13 +12,13 @@
         del configuration["routes"][0]
         self.fleet.configure(configuration)
         node = self.fleet.nodes[0]
-        self.fleet.turn_until(lambda: node.configuration.version == 5)
+        self.fleet.run_loop_until(lambda: node.configuration.version == 5)
         self.assertEqual(404, self.fleet.call("GET", "/safe/x", "r").status)
 
     def test_lower_version_is_ignored(self):
         self.fleet.configure(fleet_module.default_configuration(5))
         node = self.fleet.nodes[0]
-        self.fleet.turn_until(lambda: node.configuration.version == 5)
+        self.fleet.run_loop_until(lambda: node.configuration.version == 5)
         self.fleet.configure(fleet_module.default_configuration(3))
         self.fleet.configure({"version": 9})
         self.fleet.turn_for(0.3)
@@ -77,7 +77,7 @@
         leaving = self.fleet.tools[0]
         self.fleet.announce(leaving, fleet_module.PLAIN_SERVICE, "draining")
         directory = self.fleet.nodes[0].directory
-        self.fleet.turn_until(lambda: directory.by_id[leaving.id].leaving)
+        self.fleet.run_loop_until(lambda: directory.by_id[leaving.id].leaving)
         for number in range(6):
             self.fleet.call("GET", "/safe/x", f"r{number}")
         self.assertEqual([], leaving.runs)
@@ -87,8 +87,8 @@
         self.fleet.call("GET", "/safe/x", "first")
         self.fleet.withdraw(leaving)
         directory = self.fleet.nodes[0].directory
-        self.fleet.turn_until(lambda: leaving.id not in directory.by_id)
-        self.fleet.turn_until(lambda: leaving.connections == 0)
+        self.fleet.run_loop_until(lambda: leaving.id not in directory.by_id)
+        self.fleet.run_loop_until(lambda: leaving.connections == 0)
 
 
 class ShutdownTest(case.FleetCase):
@@ -101,11 +101,11 @@
         fields = {"program_id": "p", "token_usage": "1,16"}
         headers = self.fleet.headers("a", fields)
         caller.send("POST", "/stream/x", headers, b"x")
-        self.fleet.turn_until(lambda: self.fleet.engines[0].runs)
+        self.fleet.run_loop_until(lambda: self.fleet.engines[0].runs)
         node.shutdown.begin()
         self.assertFalse(node.is_ready)
-        self.fleet.turn_until(lambda: caller.answer.settled)
-        self.assertTrue(caller.answer.whole)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
+        self.assertTrue(caller.answer.complete)
 
     def test_new_requests_are_served_and_their_connections_closed(self):
         self.fleet.nodes[0].shutdown.begin()
@@ -122,10 +122,10 @@
         fields = {"program_id": "p", "token_usage": "1,16"}
         headers = self.fleet.headers("a", fields)
         caller.send("POST", "/stream/x", headers, b"x")
-        self.fleet.turn_until(lambda: caller.answer.settled)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
         self.assertEqual(503, caller.answer.status)
         self.assertEqual([], self.fleet.engines[0].runs)
 
     def test_shutdown_completes(self):
         self.fleet.nodes[0].shutdown.begin()
-        self.fleet.turn_until(lambda: self.fleet.stopped)
+        self.fleet.run_loop_until(lambda: self.fleet.stopped)
--- a/postspring/front/tests/test_callers_report.py
+++ b/postspring/front/tests/test_connection_reporter.py
@@ -11,14 +11,16 @@
         self.fleet.tools[0].faults.hang = True
         node = self.fleet.nodes[0]
         counted = []
-        node.metrics.cuts.add = lambda n, labels: counted.append(labels)
+        node.metrics.interrupted_responses.add = lambda n, labels: (
+            counted.append(labels)
+        )
         caller = self.fleet.caller()
         headers = self.fleet.headers("request-1")
         caller.send("GET", "/safe/x", headers)
-        self.fleet.turn_until(lambda: self.fleet.tools[0].runs)
+        self.fleet.run_loop_until(lambda: self.fleet.tools[0].runs)
         with self.assertLogs("postspring.front", "INFO") as lines:
             caller.close()
-            self.fleet.turn_until(lambda: lines.records)
+            self.fleet.run_loop_until(lambda: lines.records)
         record = lines.records[0]
         self.assertEqual(
             "connection closed before its answer was delivered",
@@ -32,7 +34,7 @@
     def test_count_is_on_the_metrics_page(self):
         page = metrics.Metrics()
         self.addCleanup(page.close)
-        page.cuts.add(1, {"ended_by": "vm"})
+        page.interrupted_responses.add(1, {"ended_by": "vm"})
         self.assertIn(
             b'postspring_connections_cut_total{ended_by="vm"', page.scrape()
         )
--- a/postspring/front/tests/test_entries.py
+++ b/postspring/front/tests/test_directory_updater.py
@@ -3,7 +3,7 @@
 import unittest
 
 from postspring import errors
-from postspring.front import upstream_watch
+from postspring.front import directory_updater
 from postspring import keyedlog
 from postspring.platform import names
 from postspring.testing.fleet import case
@@ -17,7 +17,7 @@
     def setUp(self):
         self.directory = upstreams.Directory(lambda: 0.0)
         self.unreadable_count = 0
-        self.updater = upstream_watch.DirectoryUpdater(
+        self.updater = directory_updater.DirectoryUpdater(
             self.directory, self.decode, self.count
         )
 
@@ -69,7 +69,9 @@
         with self.assertLogs("postspring.front", "ERROR") as logs:
             for number in range(3000):
                 self.apply((f"x{number}", b"bad"))
-        self.assertEqual(upstream_watch.MAX_UNREADABLE_IDS, len(logs.output))
+        self.assertEqual(
+            directory_updater.MAX_UNREADABLE_IDS, len(logs.output)
+        )
 
 
 class OverwrittenEntryTest(case.FleetCase):
@@ -82,7 +84,7 @@
         self.fleet.store.put(names.SERVERS_TOPIC, engine.id, entry)
         directory = self.fleet.nodes[0].directory
         upstream = directory.by_id[engine.id]
-        self.fleet.turn_until(lambda: upstream.unreadable)
+        self.fleet.run_loop_until(lambda: upstream.unreadable)
 
     def test_other_engines_serve(self):
         first, second = self.fleet.engines
@@ -98,15 +100,15 @@
         first, second = self.fleet.engines
         self.fleet.withdraw(second)
         directory = self.fleet.nodes[0].directory
-        self.fleet.turn_until(lambda: second.id not in directory.by_id)
+        self.fleet.run_loop_until(lambda: second.id not in directory.by_id)
         first.events, first.event_seconds = 10, 0.05
         caller = self.fleet.caller()
         fields = {"program_id": "p", "token_usage": "100,60"}
         headers = self.fleet.headers("t0", fields)
         caller.send("POST", "/stream/x", headers, b"x")
-        self.fleet.turn_until(lambda: first.runs)
+        self.fleet.run_loop_until(lambda: first.runs)
         self.overwrite_entry(first, {"state": 7})
-        self.fleet.turn_until(lambda: caller.answer.settled)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
         self.assertEqual(200, caller.answer.status)
         self.assertIn(b"w10", caller.answer.body)
 
@@ -122,7 +124,7 @@
             engine.born = 1000
         self.fleet.announce_all()
         self.directory = self.fleet.nodes[0].directory
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: all(
                 self.directory.by_id[engine.id].born == 1000
                 for engine in self.fleet.engines
@@ -133,7 +135,7 @@
         """Restart an engine and write its entry."""
         engine.start_again(2000)
         self.fleet.announce(engine, fleet_module.TURNS_SERVICE)
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: self.directory.by_id[engine.id].born == 2000
         )
 
@@ -146,10 +148,10 @@
         first = self.engine_with_runs()
         program = program_of(self.fleet)
         former = self.directory.by_id[first.id].incarnation
-        self.assertEqual(former, program.whole_turn("t0").upstream)
+        self.assertEqual(former, program.completed_turn("t0").upstream)
         self.restart(first)
         current = self.directory.by_id[first.id].incarnation
-        self.assertNotEqual(current, program.whole_turn("t0").upstream)
+        self.assertNotEqual(current, program.completed_turn("t0").upstream)
 
     def test_turns_continue_with_their_complete_history(self):
         self.fleet.take_turn("t0")
@@ -165,11 +167,11 @@
         caller = self.fleet.caller()
         headers = self.fleet.headers("once")
         caller.send("POST", "/once/x", headers, b"x")
-        self.fleet.turn_until(lambda: tool.runs)
+        self.fleet.run_loop_until(lambda: tool.runs)
         tool.faults.hang = False
         tool.start_again(2000)
         self.fleet.announce(tool, fleet_module.PLAIN_SERVICE)
-        self.fleet.turn_until(lambda: caller.answer.settled)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
         self.assertEqual(502, caller.answer.status)
         self.assertEqual([], tool.runs)
 
--- a/postspring/front/tests/test_relayed.py
+++ b/postspring/front/tests/test_forwarded_turns.py
@@ -22,7 +22,7 @@
     def setUp(self):
         super().setUp()
         for node in self.fleet.nodes:
-            self.fleet.turn_until(
+            self.fleet.run_loop_until(
                 lambda node=node: len(node.members.others) == self.vms - 1
             )
 
@@ -30,10 +30,10 @@
         self.fleet.store.refuse = 503
         for number in range(PROGRAMS):
             claim = histories.Claim("author", 16, 1000)
-            turn = histories.WholeTurn(
+            turn = histories.CompletedTurn(
                 f"p{number}", f"a{number}", claim, None, 4, b"<a>", b"w\n"
             )
-            self.fleet.nodes[0].journal.keep_copy(
+            self.fleet.nodes[0].journal.store_replica(
                 histories.encode_record(turn)
             )
         statuses = [
@@ -57,12 +57,14 @@
         """It must not be refused as if the log were unavailable."""
         parent = histories.TurnRef("p1", "lost")
         claim = histories.Claim("author", 16, 1000)
-        turn = histories.WholeTurn("p1", "a", claim, parent, 4, b"<a>", b"w\n")
+        turn = histories.CompletedTurn(
+            "p1", "a", claim, parent, 4, b"<a>", b"w\n"
+        )
         recorded = []
-        self.fleet.nodes[0].journal.record_for_another(
+        self.fleet.nodes[0].journal.record_for_peer(
             [histories.encode_record(turn)], lambda: recorded.append(True)
         )
-        self.fleet.turn_until(lambda: recorded)
+        self.fleet.run_loop_until(lambda: recorded)
         with self.assertLogs("postspring.calls", "INFO") as logs:
             answer = self.fleet.take_turn("b", previous_turn="a", vm=1)
         self.assertEqual(503, answer.status)
--- a/postspring/front/tests/test_out_of_time.py
+++ b/postspring/front/tests/test_grace_end.py
@@ -29,7 +29,7 @@
         self.node.shutdown.begin()
         self.node.shutdown._began_at -= GRACE_USED_SECONDS
         with self.assertLogs("postspring.calls", "INFO") as lines:
-            self.fleet.turn_until(lambda: self.caller.answer.settled)
+            self.fleet.run_loop_until(lambda: self.caller.answer.settled)
         self.lines = lines.records
         return self.caller.answer
 
@@ -37,21 +37,21 @@
         tool = self.fleet.tools[0]
         tool.faults.hang = True
         self.send("/once/x")
-        self.fleet.turn_until(lambda: tool.runs)
+        self.fleet.run_loop_until(lambda: tool.runs)
         answer = self.end_grace_period()
-        self.assertEqual((502, True), (answer.status, answer.whole))
-        self.fleet.turn_until(lambda: tool.gone)
-        self.fleet.turn_until(lambda: self.fleet.stopped)
+        self.assertEqual((502, True), (answer.status, answer.complete))
+        self.fleet.run_loop_until(lambda: tool.gone)
+        self.fleet.run_loop_until(lambda: self.fleet.stopped)
 
     def test_call_that_has_not_run_is_refused_and_never_runs(self):
         self.fleet.store.silent = True
         self.send("/stream/x")
-        self.fleet.turn_until(lambda: self.node.callers.active)
+        self.fleet.run_loop_until(lambda: self.node.callers.active)
         answer = self.end_grace_period()
-        self.assertEqual((503, True), (answer.status, answer.whole))
+        self.assertEqual((503, True), (answer.status, answer.complete))
         self.assertIn("retry-after", answer.headers)
         self.fleet.store.silent = False
-        self.fleet.turn_until(lambda: self.fleet.stopped)
+        self.fleet.run_loop_until(lambda: self.fleet.stopped)
         self.fleet.turn_for(0.3)
         self.assertEqual([], self.fleet.engines[0].runs)
 
@@ -59,22 +59,24 @@
         engine = self.fleet.engines[0]
         engine.faults.stop_between = 1
         self.send("/plain-stream/x")
-        self.fleet.turn_until(lambda: self.caller.answer.body)
+        self.fleet.run_loop_until(lambda: self.caller.answer.body)
         answer = self.end_grace_period()
-        self.assertFalse(answer.whole)
-        self.fleet.turn_until(lambda: engine.gone)
+        self.assertFalse(answer.complete)
+        self.fleet.run_loop_until(lambda: engine.gone)
 
     def test_turn_that_waits_for_its_record_is_not_complete(self):
         self.fleet.engines[0].event_seconds = 0.1
         self.send("/stream/x")
-        self.fleet.turn_until(lambda: self.caller.answer.body)
+        self.fleet.run_loop_until(lambda: self.caller.answer.body)
         self.fleet.store.silent = True
-        self.fleet.turn_until(lambda: case.EVENTS == self.caller.answer.body)
+        self.fleet.run_loop_until(
+            lambda: case.EVENTS == self.caller.answer.body
+        )
         # The stream's end may arrive after its last event.
         journal = self.fleet.nodes[0].journal
-        self.fleet.turn_until(lambda: journal.unrecorded)
+        self.fleet.run_loop_until(lambda: journal.unrecorded)
         answer = self.end_grace_period()
-        self.assertFalse(answer.whole)
+        self.assertFalse(answer.complete)
         line = self.lines[-1]
         self.assertEqual("broken_off", line.getMessage())
         self.assertEqual("unrecorded", line.reason)
@@ -87,18 +89,18 @@
 
     def test_turn_with_copies_on_other_vms_is_complete(self):
         node = self.fleet.nodes[0]
-        self.fleet.turn_until(lambda: len(node.members.others) == 2)
+        self.fleet.run_loop_until(lambda: len(node.members.others) == 2)
         caller = self.fleet.caller()
         headers = self.fleet.headers("r", TURN)
         self.fleet.engines[0].event_seconds = 0.1
         caller.send("POST", "/stream/x", headers, b"x")
-        self.fleet.turn_until(lambda: caller.answer.body)
+        self.fleet.run_loop_until(lambda: caller.answer.body)
         self.fleet.store.silent = True
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: any(other.journal.held for other in self.fleet.nodes[1:])
         )
         self.assertFalse(caller.answer.settled)
         node.shutdown.begin()
         node.shutdown._began_at -= GRACE_USED_SECONDS
-        self.fleet.turn_until(lambda: caller.answer.settled)
-        self.assertTrue(caller.answer.whole)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
+        self.assertTrue(caller.answer.complete)
--- a/postspring/front/tests/test_handover.py
+++ b/postspring/front/tests/test_handover.py
@@ -35,17 +35,17 @@
 
     def wait_for_others(self, node, count):
         """Wait until a VM lists at least this many others."""
-        self.fleet.turn_until(lambda: len(node.members.others) >= count)
+        self.fleet.run_loop_until(lambda: len(node.members.others) >= count)
 
     def complete_turn(self, request, vm=0):
         """Complete a turn that is held only as copies on VMs."""
         self.fleet.store.refuse = 503
-        self.assertTrue(self.fleet.take_turn(request, vm=vm).whole)
+        self.assertTrue(self.fleet.take_turn(request, vm=vm).complete)
 
     def wait_for_exit(self, node):
         """Wait until a stopping VM exits, and remove it."""
         name = node.vm.vm
-        self.fleet.turn_until(lambda: name in self.fleet.stopped)
+        self.fleet.run_loop_until(lambda: name in self.fleet.stopped)
         self.fleet.stopped.remove(name)
         self.fleet.stop_vm(node)
 
@@ -59,7 +59,7 @@
     def continue_program(self):
         """Make the store available; return the next turn's status."""
         self.fleet.store.refuse = 0
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: not any(node.journal.held for node in self.fleet.nodes)
         )
         return self.fleet.take_turn("b", previous_turn="a").status
@@ -84,10 +84,12 @@
             self.wait_for_others(node, 3)
         self.fleet.store.refuse = 503
         claim = histories.Claim(author.incarnation, 16, 1000)
-        turn = histories.WholeTurn("p1", "a", claim, None, 4, b"<a>", b"w\n")
+        turn = histories.CompletedTurn(
+            "p1", "a", claim, None, 4, b"<a>", b"w\n"
+        )
         data = histories.encode_record(turn)
         for node in (author, first, second):
-            node.journal.keep_copy(data)
+            node.journal.store_replica(data)
         for node in (author, first, second):
             node.shutdown.begin()
         for node in (author, first, second):
@@ -126,8 +128,12 @@
     def request_copy(self, node):
         """Ask a VM to keep a turn; return the status."""
         claim = histories.Claim("author", 16, 1000)
-        turn = histories.WholeTurn("p1", "a", claim, None, 4, b"<a>", b"w\n")
-        request = messages.KeepRequest([histories.encode_record(turn)])
+        turn = histories.CompletedTurn(
+            "p1", "a", claim, None, 4, b"<a>", b"w\n"
+        )
+        request = messages.StoreReplicasRequest(
+            [histories.encode_record(turn)]
+        )
         results = []
         self.fleet.nodes[0].http.send(
             messages.request_to(
@@ -136,11 +142,11 @@
                 messages.encode(request),
                 1.0,
             ),
-            transport.AnswerCollector(
+            transport.ResponseCollector(
                 lambda status, body: results.append(status), results.append
             ),
         )
-        self.fleet.turn_until(lambda: results)
+        self.fleet.run_loop_until(lambda: results)
         return results[0]
 
     def test_stopping_vm_refuses(self):
@@ -174,17 +180,17 @@
         stopping, staying, asked = self.fleet.nodes
         stopping.shutdown.grace = 60.0
         # In a larger fleet most VMs get no copies handed over.
-        asked._peer_service._takes_copies = lambda: False
+        asked._peer_service._accepts_replicas = lambda: False
         self.fleet.store.refuse = 503
         for number in range(self.programs):
             claim = histories.Claim("author", 16, 1000)
-            turn = histories.WholeTurn(
+            turn = histories.CompletedTurn(
                 f"p{number}", f"a{number}", claim, None, 4, b"<a>", b"w\n"
             )
             for node in (stopping, staying):
-                node.journal.keep_copy(histories.encode_record(turn))
+                node.journal.store_replica(histories.encode_record(turn))
         stopping.shutdown.begin()
-        self.fleet.turn_until(lambda: not stopping.shutdown.takes_work)
+        self.fleet.run_loop_until(lambda: not stopping.shutdown.accepts_work)
         with self.assertLogs("postspring.calls", "INFO") as lines:
             for number in range(self.programs):
                 self.fleet.take_turn(
--- a/postspring/front/tests/test_isolation.py
+++ b/postspring/front/tests/test_isolation.py
@@ -21,7 +21,7 @@
         self.far = self.fleet.start_vm("far", data_center="z2")
         self.near = self.fleet.nodes[0]
         for node in self.fleet.nodes:
-            self.fleet.turn_until(lambda node=node: node.members.others)
+            self.fleet.run_loop_until(lambda node=node: node.members.others)
 
     def isolate(self):
         """Isolate the first VM and wait until it detects that."""
@@ -30,7 +30,7 @@
         self.near.members.by_name["far"] = dataclasses.replace(
             member, peers=NOWHERE
         )
-        self.fleet.turn_until(lambda: self.near.isolation.is_isolated)
+        self.fleet.run_loop_until(lambda: self.near.isolation.is_isolated)
 
     def test_isolated_vm_is_not_ready(self):
         self.assertTrue(self.near.is_ready)
@@ -47,12 +47,12 @@
         self.assertEqual([], self.fleet.engines[0].runs)
 
     def test_program_continues_in_another_data_centre(self):
-        self.assertTrue(self.fleet.take_turn("a").whole)
+        self.assertTrue(self.fleet.take_turn("a").complete)
         self.isolate()
         answer = self.fleet.take_turn("b", previous_turn="a")
         self.assertEqual(503, answer.status)
         answer = self.fleet.take_turn("b2", vm=1, previous_turn="a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
 
     def test_plain_calls_are_served(self):
         self.isolate()
@@ -62,7 +62,7 @@
     def test_callers_are_served_after_the_redirect_period(self):
         self.isolate()
         isolation = self.near.isolation
-        self.fleet.turn_until(lambda: not isolation.sends_away)
+        self.fleet.run_loop_until(lambda: not isolation.callers_should_retry)
         self.assertFalse(self.near.is_ready)
         self.fleet.take_turn("a")
         reasons = {reason for reason, ran in self.near.metrics.refusal_counts}
@@ -72,14 +72,14 @@
         usual = self.near._catch_up_rate()
         self.isolate()
         self.near.store._address = self.fleet.store.address
-        self.fleet.turn_until(lambda: not self.near.isolation.is_isolated)
-        self.assertEqual(2, self.near.members.sharers)
+        self.fleet.run_loop_until(lambda: not self.near.isolation.is_isolated)
+        self.assertEqual(2, self.near.members.vm_count)
         self.assertEqual(2 * usual, self.near._catch_up_rate())
 
     def test_vm_is_ready_again_afterwards(self):
         self.isolate()
         self.near.store._address = self.fleet.store.address
-        self.fleet.turn_until(lambda: self.near.is_ready)
+        self.fleet.run_loop_until(lambda: self.near.is_ready)
 
 
 class StoreUnavailableTest(case.FleetCase):
@@ -88,9 +88,9 @@
     def test_vms_stay_ready(self):
         far = self.fleet.start_vm("far", data_center="z2")
         near = self.fleet.nodes[0]
-        self.fleet.turn_until(lambda: near.members.others)
+        self.fleet.run_loop_until(lambda: near.members.others)
         self.fleet.store.refuse = 503
-        self.fleet.turn_until(lambda: not near.log.is_direct)
+        self.fleet.run_loop_until(lambda: not near.log.has_direct_path)
         self.fleet.turn_for(1.5)
         self.assertTrue(near.is_ready)
         self.assertTrue(far.is_ready)
@@ -104,7 +104,7 @@
         # VM on the other side, 64 of them.
         far = self.fleet.start_vm("far", data_center="z2")
         near = self.fleet.nodes[0]
-        self.fleet.turn_until(lambda: near.members.others)
+        self.fleet.run_loop_until(lambda: near.members.others)
         self.fleet.stop_vm(far)
         self.fleet.take_turn("a", previous_turn="x")
         opened = near._peer_http.connections_opened
--- a/postspring/front/tests/test_leaving_upstreams.py
+++ b/postspring/front/tests/test_leaving_upstreams.py
@@ -9,8 +9,8 @@
 import itertools
 import unittest
 
-from postspring.front import upstream_list
-from postspring.front import upstream_watch
+from postspring.front import directory_updater
+from postspring.front import upstream_follower
 from postspring import keyedlog
 from postspring.keyedlog import follower
 from postspring import peering
@@ -19,7 +19,7 @@
 from postspring.testing.virtual import clock as clock_module
 from postspring import upstreams
 
-PLACE = upstream_list.UPSTREAMS_PLACE
+PLACE = upstream_follower.UPSTREAMS_PLACE
 STEP_SECONDS = 0.05
 # A running upstream rewrites its entry within this time after an outage,
 # according to the platform's page.
@@ -54,13 +54,13 @@
         self.log = memory_log.MemoryLog(self.data, self.timers)
         self.log.faults.gives_up_after = 1.2
         self.directory = upstreams.Directory(self.timers.now)
-        self.follower = upstream_list.UpstreamFollower(
+        self.follower = upstream_follower.UpstreamFollower(
             self.vm_log(self.log),
             self.timers,
             self.drain,
             1.2,
             self.directory,
-            upstream_watch.DirectoryUpdater(self.directory, decode),
+            directory_updater.DirectoryUpdater(self.directory, decode),
             lambda place, on_page: None,
         )
         self.write("a", b"ready")
@@ -180,7 +180,7 @@
     max_unused_seconds = (
         failover.PROBE_SECONDS
         + follower.RETRY_SECONDS
-        + upstream_list.RECOVERY_READ_INTERVAL_SECONDS
+        + upstream_follower.RECOVERY_READ_INTERVAL_SECONDS
     )
 
     def test_upstream_is_used_until_its_entry_returns(self):
--- a/postspring/front/tests/test_limits.py
+++ b/postspring/front/tests/test_limits.py
@@ -1,14 +1,14 @@
 """Rate limits of workspaces across several VMs, with real sockets."""
 
 from postspring.front.tests import test_workspaces
-from postspring.quotas import dealer as dealer_module
+from postspring.quotas import allocator as allocator_module
 
 RATE = 2.0
 BURST = 4.0
 # Requests that the limit allows in any five seconds.
 ALLOWED_REQUESTS = 14
 # Seconds on the member list after which a VM allocates quota like any other.
-SETTLED_SECONDS = dealer_module.SETTLE_SECONDS + 60.0
+SETTLED_SECONDS = allocator_module.SETTLE_SECONDS + 60.0
 
 
 class LimitsCase(test_workspaces.WorkspacesCase):
@@ -19,13 +19,13 @@
     def setUp(self):
         super().setUp()
         for node in self.fleet.nodes:
-            dealer = node.permits._dealer
-            dealer._listed_seconds = lambda: SETTLED_SECONDS
-            dealer._started_at -= SETTLED_SECONDS
+            allocator = node.permits._allocator
+            allocator._listed_seconds = lambda: SETTLED_SECONDS
+            allocator._started_at -= SETTLED_SECONDS
         self.configure(
             test_workspaces.with_workspaces(3, rate_per_s=RATE, burst=BURST)
         )
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: all(
                 len(node.members.by_name) == self.vms
                 for node in self.fleet.nodes
@@ -61,7 +61,7 @@
         for tool in self.fleet.tools:
             self.fleet.announce(tool, "tools", "draining")
         directory = self.fleet.nodes[0].directory
-        self.fleet.turn_until(lambda: not directory.usable("tools"))
+        self.fleet.run_loop_until(lambda: not directory.usable("tools"))
         for number in range(2 * ALLOWED_REQUESTS):
             answer = self.call("safe", f"n{number}")
             self.assertEqual(503, answer.status)
@@ -99,7 +99,7 @@
         self.call_all(3)
         node = self.fleet.nodes[0]
         place = node.vm.data_center
-        first = node.permits.dealers("acme", place)[0].name
+        first = node.permits.allocators("acme", place)[0].name
         killed = next(n for n in self.fleet.nodes if n.vm.vm == first)
         self.fleet.stop_vm(killed)
         self.call("safe", "while", vm=0)
--- a/postspring/front/tests/test_loads.py
+++ b/postspring/front/tests/test_loads.py
@@ -13,7 +13,7 @@
         super().setUp()
         self.fleet.start_vm("far", "z2")
         for node in self.fleet.nodes:
-            self.fleet.turn_until(
+            self.fleet.run_loop_until(
                 lambda node=node: len(node.members.others) == 2
             )
 
@@ -21,7 +21,7 @@
         """Return how many calls of other VMs a VM counts."""
         now = node.timers.now()
         return sum(
-            upstream.calls_of_all(now) - upstream.in_flight
+            upstream.total_calls(now) - upstream.in_flight
             for upstream in node.directory.by_id.values()
         )
 
@@ -37,7 +37,7 @@
                 {"program_id": f"p{vm}-{number}-{count}"},
             )
             caller.send("POST", "/stream/x", headers, b"x")
-        self.fleet.turn_until(lambda: self.in_flight(vm) == before + count)
+        self.fleet.run_loop_until(lambda: self.in_flight(vm) == before + count)
 
     def in_flight(self, vm):
         """Return how many calls a VM has in flight at upstreams."""
@@ -49,7 +49,7 @@
         self.hold_turns(1, 1)
         self.hold_turns(2, 2)
         expected = [3, 5, 4]
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: (
                 expected == [self.calls_of_others(n) for n in self.fleet.nodes]
             )
@@ -59,9 +59,9 @@
         self.hold_turns(0, 3)
         self.hold_turns(1, 1)
         other = self.fleet.nodes[1]
-        self.fleet.turn_until(lambda: self.calls_of_others(other) == 3)
+        self.fleet.run_loop_until(lambda: self.calls_of_others(other) == 3)
         self.fleet.stop_vm(self.fleet.nodes[0])
-        self.fleet.turn_until(lambda: self.calls_of_others(other) == 0)
+        self.fleet.run_loop_until(lambda: self.calls_of_others(other) == 0)
 
     def test_idle_vm_sends_nothing(self):
         before = [
@@ -79,13 +79,13 @@
         directory = self.fleet.nodes[2].directory
         directory.by_id[second.id].suspend(self.fleet.timers.now(), 60.0)
         self.hold_turns(2, 6)
-        self.fleet.turn_until(lambda: len(first.runs) == 6)
+        self.fleet.run_loop_until(lambda: len(first.runs) == 6)
         self.hold_turns(1, 1)
         node = self.fleet.nodes[1]
-        self.fleet.turn_until(lambda: self.calls_of_others(node) == 6)
+        self.fleet.run_loop_until(lambda: self.calls_of_others(node) == 6)
         runs = len(first.runs) + len(second.runs)
         self.hold_turns(1, 2)
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: len(first.runs) + len(second.runs) == runs + 2
         )
         self.assertLessEqual(len(first.runs), 7)
@@ -100,7 +100,7 @@
     def setUp(self):
         super().setUp()
         for node in self.fleet.nodes:
-            self.fleet.turn_until(
+            self.fleet.run_loop_until(
                 lambda node=node: len(node.members.others) == 2
             )
         self.dead, self.healthy = self.fleet.engines
@@ -127,7 +127,9 @@
         # A VM exchanges loads only while it has calls itself.
         self.fleet.call("GET", "/safe/x", "r1", vm=2)
         upstream = self.upstream(third, self.dead)
-        self.fleet.turn_until(lambda: not upstream.accepts(third.timers.now()))
+        self.fleet.run_loop_until(
+            lambda: not upstream.accepts(third.timers.now())
+        )
         arrivals = self.dead.arrivals
         self.fleet.turn_for(0.5)
         answer = self.fleet.take_turn("t", vm=2, program_id="p-2")
@@ -140,11 +142,11 @@
         fields = {"program_id": "p-2", "token_usage": "100,400"}
         headers = self.fleet.headers("t", fields)
         caller.send("POST", "/stream/x", headers, b"x")
-        self.fleet.turn_until(lambda: self.dead.runs)
+        self.fleet.run_loop_until(lambda: self.dead.runs)
         self.dead.faults.resets = True
         self.fail_turn(0)
         self.fail_turn(1)
         first = self.fleet.nodes[0]
         upstream = self.upstream(first, self.dead)
-        self.fleet.turn_until(lambda: upstream.suspected_at > 0)
-        self.fleet.turn_until(lambda: upstream.suspected_at < 0)
+        self.fleet.run_loop_until(lambda: upstream.suspected_at > 0)
+        self.fleet.run_loop_until(lambda: upstream.suspected_at < 0)
--- a/postspring/front/tests/test_lost_reads.py
+++ b/postspring/front/tests/test_lost_reads.py
@@ -9,9 +9,9 @@
 import unittest
 
 from postspring.front import configuration as configuration_module
+from postspring.front import directory_updater
 from postspring.front import followers
-from postspring.front import upstream_list
-from postspring.front import upstream_watch
+from postspring.front import upstream_follower
 from postspring import keyedlog
 from postspring import peering
 from postspring.platform import settings as platform_settings
@@ -139,19 +139,23 @@
             vm,
             current,
             self.directory,
-            upstream_watch.DirectoryUpdater(self.directory, decode_upstream),
+            directory_updater.DirectoryUpdater(
+                self.directory, decode_upstream
+            ),
             lambda: None,
             lambda place, on_page: None,
             lambda: False,
         )
-        self.write(upstream_list.UPSTREAMS_PLACE, "a", b"ready")
+        self.write(upstream_follower.UPSTREAMS_PLACE, "a", b"ready")
         self.write(followers.CONFIGURATION_PLACE, "config", b"1")
         self.followers.start()
         self.clock.run_for(10.0)
 
     def upstream_left(self, upstream):
         """Record when an upstream stops getting work."""
-        self.effective_at[upstream_list.UPSTREAMS_PLACE] = self.timers.now()
+        self.effective_at[upstream_follower.UPSTREAMS_PLACE] = (
+            self.timers.now()
+        )
 
     def configuration_changed(self, snapshot):
         """Record when a configuration takes effect."""
@@ -205,7 +209,7 @@
         )
 
     def test_leaving_upstream_gets_no_work_after_the_bound(self):
-        self.check(upstream_list.UPSTREAMS_PLACE, "a", b"leaving")
+        self.check(upstream_follower.UPSTREAMS_PLACE, "a", b"leaving")
 
     def test_configuration_takes_effect_within_the_bound(self):
         self.check(followers.CONFIGURATION_PLACE, "config", b"2")
--- a/postspring/front/tests/test_premises.py
+++ b/postspring/front/tests/test_memory_completeness.py
@@ -24,18 +24,18 @@
     def setUp(self):
         super().setUp()
         for node in self.fleet.nodes:
-            self.fleet.turn_until(lambda node=node: node.members.others)
+            self.fleet.run_loop_until(lambda node=node: node.members.others)
 
     def test_restart_with_the_same_settings(self):
         self.fleet.store.refuse = 503
-        self.assertTrue(self.fleet.take_turn("a").whole)
+        self.assertTrue(self.fleet.take_turn("a").complete)
         for node in list(self.fleet.nodes):
             self.fleet.stop_vm(node)
         self.fleet.store.refuse = 0
         for number in range(2):
             node = self.fleet.start_vm(f"vm{number}")
             self.assertTrue(node.vm.first_start)
-        self.fleet.turn_until(lambda: self.fleet.nodes[0].members.others)
+        self.fleet.run_loop_until(lambda: self.fleet.nodes[0].members.others)
         answer = self.fleet.take_turn("b", previous_turn="a")
         self.assertEqual(503, answer.status)
 
@@ -54,7 +54,7 @@
         late._started_at -= 100.0
         self.assertFalse(late._has_all_recent_turns())
         self.fleet.store.refuse = 0
-        self.fleet.turn_until(lambda: late.members.is_announced)
+        self.fleet.run_loop_until(lambda: late.members.is_announced)
         self.assertFalse(late._has_all_recent_turns())
         with mock.patch.object(completeness, "MIN_LISTED_SECONDS", 0.2):
-            self.fleet.turn_until(late._has_all_recent_turns)
+            self.fleet.run_loop_until(late._has_all_recent_turns)
--- a/postspring/front/tests/test_absence.py
+++ b/postspring/front/tests/test_missing_turns.py
@@ -31,7 +31,7 @@
         for module, name, seconds in (
             (members, "HEARTBEAT_SECONDS", self.heartbeat),
             (members, "EXPIRY_SECONDS", 0.6),
-            (isolation, "SENT_AWAY_SECONDS", 0.0),
+            (isolation, "CALLER_RETRY_SECONDS", 0.0),
         ):
             patch = mock.patch.object(module, name, seconds)
             patch.start()
@@ -45,11 +45,11 @@
         for name in ("there-1", "there-2"):
             self.there.append(self.fleet.start_vm(name, data_center="z2"))
         for node in self.there:
-            self.fleet.turn_until(lambda node=node: len(others(node)) == 2)
+            self.fleet.run_loop_until(lambda node=node: len(others(node)) == 2)
 
     def wait_until_listed(self):
         """Wait until the VM here lists both others."""
-        self.fleet.turn_until(lambda: len(others(self.here)) == 2)
+        self.fleet.run_loop_until(lambda: len(others(self.here)) == 2)
 
     def isolate_there(self):
         """Isolate the other data centre from the store and from here."""
@@ -59,12 +59,14 @@
         for node in self.there:
             if node.vm.vm in self.here.members.by_name:
                 make_unreachable(self.here, node.vm.vm)
-            self.fleet.turn_until(lambda node=node: not node.log.is_direct)
+            self.fleet.run_loop_until(
+                lambda node=node: not node.log.has_direct_path
+            )
 
     def complete_turn_there(self):
         """Complete a turn that only the VMs there hold."""
         answer = self.fleet.take_turn("a", vm=1)
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         self.assertFalse(self.here.journal.known_turn(TURN))
 
     def continue_here(self):
@@ -91,7 +93,7 @@
         self.wait_until_listed()
         self.isolate_there()
         self.complete_turn_there()
-        self.fleet.turn_until(lambda: not others(self.here))
+        self.fleet.run_loop_until(lambda: not others(self.here))
         self.assertEqual(503, self.continue_here())
 
     def test_program_continues_after_the_partition(self):
@@ -99,10 +101,10 @@
         self.wait_until_listed()
         self.isolate_there()
         self.complete_turn_there()
-        self.fleet.turn_until(lambda: not others(self.here))
+        self.fleet.run_loop_until(lambda: not others(self.here))
         for node in self.there:
             node.store._address = self.fleet.store.address
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: not any(node.journal.held for node in self.there)
         )
         self.assertEqual(200, self.continue_here())
@@ -117,12 +119,12 @@
         self.there.append(self.fleet.start_vm("there-1", data_center="z2"))
         self.there.append(self.fleet.start_vm("there-2", data_center="z2"))
         newest = self.there[1]
-        self.fleet.turn_until(lambda: "there-1" in others(newest))
+        self.fleet.run_loop_until(lambda: "there-1" in others(newest))
         for node in self.there:
             make_unreachable(node, "vm0")
             node.store._address = NOWHERE
-        self.fleet.turn_until(lambda: newest.log.is_broken)
-        self.assertTrue(self.fleet.take_turn("a", vm=2).whole)
+        self.fleet.run_loop_until(lambda: newest.log.is_breaker_open)
+        self.assertTrue(self.fleet.take_turn("a", vm=2).complete)
         self.assertEqual([], others(self.here))
         self.assertEqual(200, self.continue_here())
 
@@ -136,8 +138,10 @@
     def store_copy(self, node):
         """Store a copy of another program's turn on a VM."""
         claim = histories.Claim("author", 16, 1000)
-        turn = histories.WholeTurn("p0", "a", claim, None, 4, b"<a>", b"w\n")
-        node.journal.keep_copy(histories.encode_record(turn))
+        turn = histories.CompletedTurn(
+            "p0", "a", claim, None, 4, b"<a>", b"w\n"
+        )
+        node.journal.store_replica(histories.encode_record(turn))
 
     def test_copy_on_another_vm(self):
         self.start_there()
@@ -163,8 +167,8 @@
         self.fleet.turn_for(0.5)
         self.assertIn("there-1", others(self.here))
         del leaving.journal._held_by_ref[TURN]
-        self.fleet.turn_until(leaving.graceful_leave.advance)
-        self.fleet.turn_until(lambda: "there-1" not in others(self.here))
+        self.fleet.run_loop_until(leaving.graceful_leave.advance)
+        self.fleet.run_loop_until(lambda: "there-1" not in others(self.here))
 
 
 class UnsettledTest(AbsenceCase):
@@ -186,12 +190,12 @@
         self.assertFalse(self.here.graceful_leave.advance())
         self.assertFalse(self.here.graceful_leave.has_started)
         self.fleet.store.refuse = 0
-        self.fleet.turn_until(self.here.graceful_leave.advance)
+        self.fleet.run_loop_until(self.here.graceful_leave.advance)
         self.assertEqual(4, self.here.journal.charged("p1"))
 
     def test_tokens_spent_at_a_home_are_recorded_first(self):
         self.fleet.store.refuse = 503
-        self.end_turn(100, histories.Origin.HOME)
+        self.end_turn(100, histories.Origin.OFFLINE)
         self.assert_exit_waits()
 
     def test_tokens_of_a_turn_without_a_budget_are_recorded_first(self):
@@ -213,7 +217,7 @@
         self.wait_until_listed()
         restarted = self.there[0]
         restarted.vm = dataclasses.replace(restarted.vm, first_start=False)
-        self.fleet.turn_until(restarted.graceful_leave.advance)
+        self.fleet.run_loop_until(restarted.graceful_leave.advance)
         self.fleet.turn_for(0.5)
         self.assertIn("there-1", others(self.here))
         self.assertEqual(503, self.continue_here())
@@ -239,7 +243,7 @@
             if route.get("retention_s"):
                 route["retention_s"] = retention
         self.fleet.configure(configuration)
-        self.fleet.turn_until(lambda: self.here.configuration.version == 2)
+        self.fleet.run_loop_until(lambda: self.here.configuration.version == 2)
 
     def test_long_retention(self):
         self.configure(300.0)
@@ -267,7 +271,7 @@
         self.here.members.refresh(
             lambda: results.append(True), lambda: results.append(False)
         )
-        self.fleet.turn_until(lambda: results)
+        self.fleet.run_loop_until(lambda: results)
         self.assertEqual([True], results)
 
     def test_late_leave_does_not_remove_the_successor(self):
@@ -277,9 +281,9 @@
         successor = dataclasses.replace(old.own, incarnation="there-1/next")
         results = []
         old._announce(members._encode(successor), results.append)
-        self.fleet.turn_until(lambda: results)
+        self.fleet.run_loop_until(lambda: results)
         old.leave()
-        self.fleet.turn_until(lambda: old.has_left)
+        self.fleet.run_loop_until(lambda: old.has_left)
         self.read_list()
         self.assertEqual(["there-1"], others(self.here))
 
@@ -287,7 +291,7 @@
         old = self.fleet.start_vm("there-1", data_center="z2").members
         self.read_list()
         old.leave()
-        self.fleet.turn_until(lambda: old.has_left)
+        self.fleet.run_loop_until(lambda: old.has_left)
         self.read_list()
         self.assertEqual([], others(self.here))
 
@@ -304,10 +308,10 @@
         self.wait_until_listed()
         left = self.there[0].members
         left.leave()
-        self.fleet.turn_until(lambda: left.has_left)
+        self.fleet.run_loop_until(lambda: left.has_left)
         results = []
         left._announce(left.own_entry, results.append)
-        self.fleet.turn_until(lambda: results)
+        self.fleet.run_loop_until(lambda: results)
         self.fleet.turn_for(1.5)
         self.assertEqual([], self.here.members.absent)
         self.assertNotIn("there-1", others(self.here))
@@ -342,6 +346,6 @@
         self.start_there()
         self.wait_until_listed()
         for node in self.there:
-            self.fleet.turn_until(node.graceful_leave.advance)
-        self.fleet.turn_until(lambda: not others(self.here))
+            self.fleet.run_loop_until(node.graceful_leave.advance)
+        self.fleet.run_loop_until(lambda: not others(self.here))
         self.assertEqual(404, self.continue_here())
--- a/postspring/front/tests/test_homes.py
+++ b/postspring/front/tests/test_offline_accounts.py
@@ -11,9 +11,9 @@
 import dataclasses
 from unittest import mock
 
-from postspring.front.tests import test_absence
+from postspring.front.tests import test_missing_turns
 from postspring import histories
-from postspring.peering import promises
+from postspring.peering import program_leases
 from postspring.testing.fleet import case
 
 # A turn of the simulated engine has three events of four tokens each.
@@ -33,7 +33,7 @@
     def setUp(self):
         super().setUp()
         for node in self.fleet.nodes:
-            self.fleet.turn_until(
+            self.fleet.run_loop_until(
                 lambda node=node: len(node.members.others) == self.vms - 1
             )
         self.fleet.store.refuse = 503
@@ -60,7 +60,7 @@
         self.assertLessEqual(self.tokens_delivered, BUDGET + CEILING)
 
 
-class ForgottenHomeTest(test_absence.AbsenceCase):
+class ForgottenHomeTest(test_missing_turns.AbsenceCase):
     """A home that is not on the member list yet, or was restarted.
 
     The next home must not get the whole budget again.
@@ -73,10 +73,10 @@
         self.fleet.start_vm("vm1")
         self.newest = self.fleet.start_vm("vm2")
         self.old = self.fleet.nodes[1]
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: (
                 self.newest.members.is_announced
-                and len(test_absence.others(self.newest)) == 2
+                and len(test_missing_turns.others(self.newest)) == 2
             )
         )
 
@@ -84,7 +84,9 @@
         """Make the store refuse all VMs."""
         self.fleet.store.refuse = 503
         for node in self.fleet.nodes:
-            self.fleet.turn_until(lambda node=node: node.log.is_broken)
+            self.fleet.run_loop_until(
+                lambda node=node: node.log.is_breaker_open
+            )
 
     def spend(self, vm, name):
         """Take turns at a VM until one is refused; return the tokens."""
@@ -104,7 +106,7 @@
         self.assertLessEqual(sum(tokens), HOME_BUDGET + CEILING, tokens)
 
     def test_home_that_is_not_on_the_list_yet(self):
-        self.assertEqual(["vm0"], test_absence.others(self.old))
+        self.assertEqual(["vm0"], test_missing_turns.others(self.old))
         self.interrupt_log()
         self.check(self.spend(2, "a"), self.spend(1, "b"))
 
@@ -112,9 +114,9 @@
         """Make all VMs read the member list."""
         for node in self.fleet.nodes:
             node.members._follower.read_now()
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: all(
-                len(test_absence.others(node)) == 2
+                len(test_missing_turns.others(node)) == 2
                 for node in self.fleet.nodes
             )
         )
@@ -132,7 +134,7 @@
         again = self.fleet.start_vm("vm2")
         again.vm = dataclasses.replace(again.vm, first_start=False)
         for node in self.fleet.nodes[:2]:
-            node.members.introduce("vm2", again.members.own_entry)
+            node.members.add_member("vm2", again.members.own_entry)
         self.fleet.turn_for(1.5)
         self.check(first, self.spend(1, "b"))
 
@@ -170,7 +172,7 @@
         self.addCleanup(slow.stop)
         self.fleet.store.refuse = 0
         for node in self.fleet.nodes:
-            self.fleet.turn_until(lambda node=node: not node.log.is_down)
+            self.fleet.run_loop_until(lambda node=node: not node.log.is_down)
         return partition, slow
 
     def test_other_vms_wait_for_the_records_of_the_home(self):
@@ -188,9 +190,9 @@
         slow.stop()
         partition._retry_now()
         home = self.fleet.nodes[0].journal
-        self.fleet.turn_until(lambda: not home.unrecorded)
+        self.fleet.run_loop_until(lambda: not home.unrecorded)
         # Until a promise expires, other VMs wait even if all is recorded.
-        self.fleet.turn_for(promises.PROMISE_SECONDS)
+        self.fleet.turn_for(program_leases.LEASE_SECONDS)
         self.spend("next", vm=1)
         self.assertEqual(36, self.tokens_delivered)
 
@@ -198,12 +200,12 @@
         self.spend("home", turns=1)
         partition, slow = self.restore_log()
         node = self.fleet.nodes[1]
-        self.assertTrue(node.peer_client.may_owe("p1"))
+        self.assertTrue(node.peer_client.may_have_uncharged_turns("p1"))
         slow.stop()
         partition._retry_now()
         for other in self.fleet.nodes:
-            self.fleet.turn_until(
+            self.fleet.run_loop_until(
                 lambda other=other: not other.journal.unrecorded
             )
         self.spend("next", turns=1, vm=1)
-        self.assertFalse(node.peer_client.may_owe("p1"))
+        self.assertFalse(node.peer_client.may_have_uncharged_turns("p1"))
--- a/postspring/front/tests/test_return.py
+++ b/postspring/front/tests/test_offline_accounts_after_outage.py
@@ -11,7 +11,7 @@
 
 import dataclasses
 
-from postspring.front.tests import test_absence
+from postspring.front.tests import test_missing_turns
 
 BUDGET = 100
 # A turn has three events of four tokens each; its ceiling is 16.
@@ -22,7 +22,7 @@
 STORE_WRITES = 4
 
 
-class ReturningStoreTest(test_absence.AbsenceCase):
+class ReturningStoreTest(test_missing_turns.AbsenceCase):
     """Two VMs after an outage of the log for both."""
 
     vms = 2
@@ -44,18 +44,22 @@
         nodes = self.fleet.nodes
         for node in nodes:
             node.vm = dataclasses.replace(node.vm, store_writes=STORE_WRITES)
-            self.fleet.turn_until(
-                lambda node=node: len(test_absence.others(node)) == 1
+            self.fleet.run_loop_until(
+                lambda node=node: len(test_missing_turns.others(node)) == 1
             )
         self.fleet.store.refuse = 503
         for node in nodes:
-            self.fleet.turn_until(lambda node=node: node.log.is_broken)
+            self.fleet.run_loop_until(
+                lambda node=node: node.log.is_breaker_open
+            )
         for number in range(12):
             self.take(f"x{number}", 0, program=f"q{number}")
         self.assertEqual(200, self.take("first", 0))
         self.fleet.store.refuse = 0
         for node in nodes:
-            self.fleet.turn_until(lambda node=node: not node.log.is_broken)
+            self.fleet.run_loop_until(
+                lambda node=node: not node.log.is_breaker_open
+            )
         self.fleet.turn_for(2.0)
         through_log = self.spend(1, "a")
         at_home = self.spend(0, "b")
--- a/postspring/front/tests/test_outages.py
+++ b/postspring/front/tests/test_outages.py
@@ -24,12 +24,12 @@
         self.fleet.take_turn("a")
         self.fleet.store.refuse = 0
         answer = self.fleet.take_turn("b")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
 
     def test_turn_completes_although_answers_of_appends_are_lost(self):
         self.fleet.store.lose_answers = 2
         answer = self.fleet.take_turn("a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
 
     def test_vm_without_a_configuration_is_not_ready(self):
         self.fleet.store.refuse = 503
@@ -49,19 +49,19 @@
     def setUp(self):
         super().setUp()
         for node in self.fleet.nodes:
-            self.fleet.turn_until(lambda node=node: node.members.others)
+            self.fleet.run_loop_until(lambda node=node: node.members.others)
 
     def test_new_program_starts(self):
         self.fleet.store.refuse = 503
         answer = self.fleet.take_turn("a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         self.assertEqual(case.EVENTS, answer.body)
 
     def test_program_continues_at_the_same_vm(self):
         self.fleet.store.refuse = 503
         self.fleet.take_turn("a")
         answer = self.fleet.take_turn("b", previous_turn="a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         run = self.fleet.engines[0].runs[-1]
         self.assertEqual(b"<a>w1\nw2\nw3\n<b>", run.body)
 
@@ -69,7 +69,7 @@
         self.fleet.store.refuse = 503
         self.fleet.take_turn("a")
         answer = self.fleet.take_turn("b", vm=1, previous_turn="a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         run = self.fleet.engines[0].runs[-1]
         self.assertEqual(b"<a>w1\nw2\nw3\n<b>", run.body)
 
@@ -94,7 +94,7 @@
             self.fleet.take_turn(f"t{number}", token_budget="40")
         self.fleet.store.refuse = 0
         journals = [node.journal for node in self.fleet.nodes]
-        self.fleet.turn_until(lambda: not any(j.held for j in journals))
+        self.fleet.run_loop_until(lambda: not any(j.held for j in journals))
         answer = self.fleet.take_turn("u", vm=1, token_budget="40")
         self.assertEqual(402, answer.status)
 
@@ -103,12 +103,12 @@
         self.fleet.take_turn("a")
         self.fleet.store.refuse = 0
         journals = [node.journal for node in self.fleet.nodes]
-        self.fleet.turn_until(lambda: not any(j.held for j in journals))
+        self.fleet.run_loop_until(lambda: not any(j.held for j in journals))
         for node in list(self.fleet.nodes):
             self.fleet.stop_vm(node)
         self.fleet.start_vm("new")
         answer = self.fleet.take_turn("b", previous_turn="a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
 
     def test_held_turn_survives_the_vm_that_answered_it(self):
         self.fleet.store.refuse = 503
@@ -116,23 +116,23 @@
         self.fleet.stop_vm(self.fleet.nodes[0])
         self.fleet.store.refuse = 0
         answer = self.fleet.take_turn("b", previous_turn="a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
 
     def test_running_program_continues(self):
         self.fleet.take_turn("a")
         self.fleet.store.refuse = 503
         for number in range(3):
             answer = self.fleet.take_turn(f"b{number}", previous_turn="a")
-            self.assertTrue(answer.whole)
+            self.assertTrue(answer.complete)
 
     def test_program_continues_while_the_store_is_silent(self):
         self.fleet.take_turn("a")
         self.fleet.store.silent = True
         answer = self.fleet.take_turn("b", previous_turn="a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         self.fleet.store.silent = False
         journals = [node.journal for node in self.fleet.nodes]
-        self.fleet.turn_until(lambda: not any(j.held for j in journals))
+        self.fleet.run_loop_until(lambda: not any(j.held for j in journals))
 
 
 class LateStartTest(case.FleetCase):
@@ -146,14 +146,14 @@
             200, self.fleet.call("GET", "/safe/x", "r", vm=1).status
         )
         answer = self.fleet.take_turn("b", vm=1, previous_turn="a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
 
     def test_late_vm_follows_the_store_afterwards(self):
         self.fleet.store.refuse = 503
         late = self.fleet.start_vm("late")
         self.fleet.store.refuse = 0
         self.fleet.configure(fleet_module.default_configuration(5))
-        self.fleet.turn_until(lambda: late.configuration.version == 5)
+        self.fleet.run_loop_until(lambda: late.configuration.version == 5)
 
 
 class HelpedVmTest(case.FleetCase):
@@ -164,24 +164,26 @@
     def setUp(self):
         super().setUp()
         for node in self.fleet.nodes:
-            self.fleet.turn_until(lambda node=node: node.members.others)
+            self.fleet.run_loop_until(lambda node=node: node.members.others)
         self.unconnected = self.fleet.nodes[0]
         self.unconnected.store._address = ("127.0.0.1", 1)
 
     def test_turns_are_recorded_through_the_helper(self):
-        self.assertTrue(self.fleet.take_turn("a").whole)
-        self.fleet.turn_until(lambda: not self.unconnected.log.is_direct)
+        self.assertTrue(self.fleet.take_turn("a").complete)
+        self.fleet.run_loop_until(
+            lambda: not self.unconnected.log.has_direct_path
+        )
         answer = self.fleet.take_turn("b", vm=1, previous_turn="a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
 
     def test_configuration_is_read_through_the_helper(self):
         self.fleet.take_turn("a")
         self.fleet.configure(fleet_module.default_configuration(5))
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: self.unconnected.configuration.version == 5
         )
 
     def test_store_is_called_directly_again(self):
         self.fleet.take_turn("a")
         self.unconnected.store._address = self.fleet.store.address
-        self.fleet.turn_until(lambda: self.unconnected.log.is_direct)
+        self.fleet.run_loop_until(lambda: self.unconnected.log.has_direct_path)
