--- a/postspring/front/tests/test_plain_calls.py
+++ b/postspring/front/tests/test_plain_calls.py
@@ -162,10 +162,10 @@
         self.fleet.tools[0].faults.hang = True
         caller = self.fleet.caller()
         caller.send("GET", "/safe/x", self.fleet.headers("r1"))
-        self.fleet.turn_until(lambda: self.fleet.tools[0].runs)
+        self.fleet.run_loop_until(lambda: self.fleet.tools[0].runs)
         caller.close()
         self.fleet._callers.remove(caller)
-        self.fleet.turn_until(lambda: self.fleet.tools[0].gone)
+        self.fleet.run_loop_until(lambda: self.fleet.tools[0].gone)
 
 
 class BadInputTest(case.FleetCase):
@@ -175,7 +175,7 @@
         """Send raw bytes; return the answer."""
         caller = self.fleet.caller()
         caller.send("GET", "/safe/x", self.fleet.headers("r"))
-        self.fleet.turn_until(lambda: caller.answer.settled)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
         raw = self.fleet.caller()
         raw._http.send(
             fleet_module.caller_module.h11.Request(
@@ -183,7 +183,7 @@
             )
         )
         raw.send_raw(data)
-        self.fleet.turn_until(lambda: raw.answer.settled)
+        self.fleet.run_loop_until(lambda: raw.answer.settled)
         return raw.answer
 
     def test_malformed_request(self):
--- a/postspring/front/tests/test_power_loss.py
+++ b/postspring/front/tests/test_power_loss.py
@@ -21,7 +21,7 @@
 
     def setUp(self):
         super().setUp()
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: all(
                 len(node.members.others) == 2 for node in self.fleet.nodes
             )
@@ -31,7 +31,7 @@
         self.fleet.store.append_seconds = APPEND_SECONDS
         for previous, turn in ((None, "a"), ("a", "b"), ("b", "c")):
             headers = {"previous_turn": previous} if previous else {}
-            self.assertTrue(self.fleet.take_turn(turn, **headers).whole)
+            self.assertTrue(self.fleet.take_turn(turn, **headers).complete)
         names = [node.vm.vm for node in self.fleet.nodes]
         self.fleet.lose_power()
         self.fleet.store.append_seconds = 0.0
--- a/postspring/front/tests/test_reload.py
+++ b/postspring/front/tests/test_reload.py
@@ -34,7 +34,7 @@
         """Send SIGHUP; return the messages that are logged then."""
         with self.assertLogs("postspring", "INFO") as lines:
             os.kill(os.getpid(), signal.SIGHUP)
-            self.fleet.turn_until(lambda: lines.records)
+            self.fleet.run_loop_until(lambda: lines.records)
         return [record.getMessage() for record in lines.records]
 
     def test_process_continues(self):
@@ -55,7 +55,7 @@
         self.assertIn("settings not read", self.hang_up())
         self.path.write_text(json.dumps(test_settings.RAW))
         with self.assertLogs("postspring", "INFO") as lines:
-            self.fleet.turn_until(lambda: lines.records)
+            self.fleet.run_loop_until(lambda: lines.records)
         self.assertIn("settings read again", lines.output[-1])
 
     def test_changed_settings_take_effect(self):
@@ -79,14 +79,14 @@
         fields = {"program_id": "p", "token_usage": "1,16"}
         headers = self.fleet.headers("a", fields)
         caller.send("POST", "/stream/x", headers, b"x")
-        self.fleet.turn_until(lambda: caller.answer.body)
+        self.fleet.run_loop_until(lambda: caller.answer.body)
         other = store_service.StoreService(
             self.fleet._world, self.fleet.timers
         )
         other.data = self.fleet.store.data
         vm = dataclasses.replace(self.node.vm, store=other.address)
         self.node.reconfigure(vm)
-        self.fleet.turn_until(lambda: caller.answer.settled)
-        self.assertTrue(caller.answer.whole)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
+        self.assertTrue(caller.answer.complete)
         self.assertEqual(0, self.node.journal.unrecorded)
-        self.fleet.turn_until(lambda: other.calls)
+        self.fleet.run_loop_until(lambda: other.calls)
--- a/postspring/front/tests/test_resumed.py
+++ b/postspring/front/tests/test_resumed.py
@@ -52,7 +52,7 @@
     def test_lost_answer_is_requested_elsewhere(self):
         self.set_faults_of_first_engine(lose_answer=1)
         answer = self.take_turn()
-        self.assertEqual((200, True), (answer.status, answer.whole))
+        self.assertEqual((200, True), (answer.status, answer.complete))
         self.assertEqual(case.EVENTS, answer.body)
         self.assertEqual(2, len(self.runs()))
 
@@ -65,7 +65,7 @@
     def test_hanging_engine_is_abandoned(self):
         self.set_faults_of_first_engine(hang=True)
         answer = self.take_turn()
-        self.assertEqual((200, True), (answer.status, answer.whole))
+        self.assertEqual((200, True), (answer.status, answer.complete))
         self.assertEqual(1, sum(item.gone for item in self.fleet.engines))
 
 
@@ -83,7 +83,7 @@
     def test_broken_stream_ends_the_answer(self):
         self.set_faults(cut_between=1)
         answer = self.take_turn()
-        self.assertFalse(answer.whole)
+        self.assertFalse(answer.complete)
         self.assertEqual(1, len(self.runs()))
 
     def test_hanging_engine_is_awaited(self):
@@ -98,7 +98,7 @@
 
     def check(self, answer):
         """Check a complete answer with the first seal after two runs."""
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         self.assertEqual(case.EVENTS, answer.body)
         runs = self.runs()
         self.assertEqual(2, len(runs))
@@ -130,7 +130,7 @@
     def test_resumed_stream_is_charged_once(self):
         self.set_faults_of_first_engine(cut=1)
         self.take_turn("a", token_budget="28")
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: not self.fleet.nodes[0].journal.unrecorded
         )
         # Three events of 4 tokens; 16 if the first one were charged twice.
@@ -140,7 +140,7 @@
     def test_resumptions_are_bounded_by_the_route(self):
         self.set_faults(cut_between=9)
         answer = self.take_turn()
-        self.assertFalse(answer.whole)
+        self.assertFalse(answer.complete)
         self.assertEqual(b"".join(_events(1, 2)), answer.body)
         self.assertEqual(2, len(self.runs()))
 
@@ -148,7 +148,7 @@
         self.set_faults_of_first_engine(cut_between=1)
         self.set_faults(starts_again=True)
         answer = self.take_turn()
-        self.assertFalse(answer.whole)
+        self.assertFalse(answer.complete)
         self.assertEqual(b"".join(_events(1)), answer.body)
 
     def test_full_engines_end_the_answer(self):
@@ -158,12 +158,12 @@
         caller = self.fleet.caller()
         headers = self.fleet.headers("a", {"program_id": "p1"})
         caller.send("POST", "/resumed-stream/x", headers, b"x")
-        self.fleet.turn_until(lambda: self.runs())
+        self.fleet.run_loop_until(lambda: self.runs())
         for engine in engines:
             engine.faults.shed = 99
-        self.fleet.turn_until(lambda: caller.answer.settled)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
         answer = caller.answer
-        self.assertFalse(answer.whole)
+        self.assertFalse(answer.complete)
         self.assertEqual(200, answer.status)
 
 
@@ -172,7 +172,7 @@
 
     def test_last_event_id_is_forwarded(self):
         answer = self.take_turn("b", last_event_id="2")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         self.assertEqual(b"".join(_events(3)), answer.body)
         run = self.runs()[0]
         self.assertEqual("2", run.header(names.LAST_EVENT_ID))
@@ -180,7 +180,7 @@
     def test_break_before_the_first_event_resumes_there(self):
         self.set_faults_of_first_engine(lose_answer=1)
         answer = self.take_turn("b", last_event_id="1")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         self.assertEqual(b"".join(_events(2, 3)), answer.body)
         self.assertEqual(
             ["1", "1"],
@@ -190,7 +190,7 @@
     def test_only_delivered_events_are_charged(self):
         self.take_turn("b", last_event_id="2", token_budget="100")
         node = self.fleet.nodes[0]
-        self.fleet.turn_until(lambda: not node.journal.unrecorded)
+        self.fleet.run_loop_until(lambda: not node.journal.unrecorded)
         self.assertEqual(4, node.journal.charged("p1"))
 
 
@@ -213,20 +213,20 @@
         for engine in self.fleet.engines:
             engine.event_seconds = 0.05
         caller.send("POST", "/resumed-stream/x", headers, b"x")
-        self.fleet.turn_until(lambda: self.runs())
+        self.fleet.run_loop_until(lambda: self.runs())
         for engine in self.fleet.engines:
             engine.weights += changes(engine)
-        self.fleet.turn_until(lambda: caller.answer.settled)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
         return caller.answer
 
     def test_first_engine_resumes_if_others_have_other_weights(self):
         answer = self.break_and_change_weights(lambda engine: not engine.runs)
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         self.assertEqual(case.EVENTS, answer.body)
 
     def test_other_weights_are_not_joined(self):
         answer = self.break_and_change_weights(lambda engine: True)
-        self.assertFalse(answer.whole)
+        self.assertFalse(answer.complete)
         self.assertEqual(b"".join(_events(1)), answer.body)
         # The engine is not taken for another one at its address.
         upstreams = self.fleet.nodes[0].directory.by_id.values()
@@ -240,15 +240,15 @@
         caller = self.fleet.caller()
         headers = self.fleet.headers("a", {"program_id": "p1"})
         caller.send("POST", "/resumed-stream/x", headers, b"x")
-        self.fleet.turn_until(lambda: b"id: 2" in caller.answer.body)
+        self.fleet.run_loop_until(lambda: b"id: 2" in caller.answer.body)
         for engine in self.fleet.engines:
             engine.new_weights_at = 0
             if engine.runs:
                 engine.faults.cut_between = 1
             else:
                 engine.weights = 2
-        self.fleet.turn_until(lambda: caller.answer.settled)
-        self.assertTrue(caller.answer.whole)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
+        self.assertTrue(caller.answer.complete)
         resumed = [
             run for run in self.runs() if run.header(names.LAST_EVENT_ID)
         ]
--- a/postspring/front/tests/test_shutdown.py
+++ b/postspring/front/tests/test_shutdown.py
@@ -35,9 +35,9 @@
         """Return a caller with an answer and an open connection."""
         caller = self.edge.connect()
         self.edge.ask(caller)
-        self.edge.turn_until(lambda: self.edge.calls)
+        self.edge.run_loop_until(lambda: self.edge.calls)
         self.edge.calls.pop().respond(200, [])
-        self.edge.turn_until(lambda: caller.answer.whole)
+        self.edge.run_loop_until(lambda: caller.answer.complete)
         return caller
 
     def answer_until(self, check):
@@ -48,7 +48,7 @@
                 self.edge.calls.pop().respond(503, [])
             return check()
 
-        self.edge.turn_until(answer_calls)
+        self.edge.run_loop_until(answer_calls)
 
 
 class DrainTest(CallersEdgeCase):
@@ -57,16 +57,16 @@
     def test_request_that_arrives_during_a_pause_is_answered(self):
         caller = self.connected_caller()
         self.edge.shutdown.begin()
-        self.edge.turn()
+        self.edge.run_loop()
         self.edge.ask(caller)
         self.edge.pass_time(PAUSE_SECONDS)
         self.answer_until(lambda: caller.answer.settled)
-        self.assertTrue(caller.answer.whole)
+        self.assertTrue(caller.answer.complete)
         self.answer_until(lambda: self.edge.stopped)
 
     def test_connection_that_waits_to_be_accepted_is_served(self):
         self.edge.shutdown.begin()
-        self.edge.turn()
+        self.edge.run_loop()
         callers = [self.edge.connect() for _ in range(5)]
         for caller in callers:
             self.edge.ask(caller)
@@ -75,42 +75,42 @@
             lambda: all(caller.answer.settled for caller in callers)
         )
         self.assertEqual(
-            [True] * 5, [caller.answer.whole for caller in callers]
+            [True] * 5, [caller.answer.complete for caller in callers]
         )
         self.answer_until(lambda: self.edge.stopped)
 
     def test_answer_that_its_caller_reads_late_is_complete(self):
         caller = self.edge.connect()
         self.edge.ask(caller)
-        self.edge.turn_until(lambda: self.edge.calls)
+        self.edge.run_loop_until(lambda: self.edge.calls)
         body = b"x" * LONG_ANSWER_BYTES
         self.edge.shutdown.begin()
         self.edge.calls.pop().respond(200, [], body)
         self.edge.pass_time(PAUSE_SECONDS)
-        self.edge.turn(50)
+        self.edge.run_loop(50)
         self.assertFalse(self.edge.stopped)
-        self.edge.turn_until(lambda: caller.answer.settled)
+        self.edge.run_loop_until(lambda: caller.answer.settled)
         self.assertEqual(len(body), len(caller.answer.body))
-        self.edge.turn_until(lambda: self.edge.stopped)
+        self.edge.run_loop_until(lambda: self.edge.stopped)
 
     def test_new_connection_does_not_count_as_idle(self):
         self.edge.shutdown.begin()
-        self.edge.turn()
+        self.edge.run_loop()
         caller = self.edge.connect()
         self.edge.pass_time(PAUSE_SECONDS)
-        self.edge.turn()
+        self.edge.run_loop()
         self.edge.shutdown._check()
         self.edge.ask(caller)
         self.answer_until(lambda: caller.answer.settled)
-        self.assertTrue(caller.answer.whole)
+        self.assertTrue(caller.answer.complete)
         self.answer_until(lambda: self.edge.stopped)
 
     def test_connection_without_a_request_does_not_delay_the_exit(self):
         self.edge.connect()
-        self.edge.turn()
+        self.edge.run_loop()
         self.edge.shutdown.begin()
         self.edge.pass_time(PAUSE_SECONDS)
-        self.edge.turn_until(lambda: self.edge.stopped)
+        self.edge.run_loop_until(lambda: self.edge.stopped)
 
 
 class GraceTest(CallersEdgeCase):
@@ -119,28 +119,28 @@
     def stop(self):
         """Stop near the end of the grace; return log records by message."""
         self.edge.shutdown.begin()
-        self.edge.turn()
+        self.edge.run_loop()
         self.edge.pass_time(NEAR_END_SECONDS)
         with self.assertLogs("postspring.front", "INFO") as lines:
-            self.edge.turn_until(lambda: self.edge.stopped)
+            self.edge.run_loop_until(lambda: self.edge.stopped)
         return {record.getMessage(): record for record in lines.records}
 
     def test_unanswered_call_gets_bad_gateway(self):
         caller = self.edge.connect()
         self.edge.ask(caller)
-        self.edge.turn_until(lambda: self.edge.calls)
+        self.edge.run_loop_until(lambda: self.edge.calls)
         self.assertEqual(1, self.stop()["grace period is ending"].active)
         self.assertEqual(502, caller.answer.status)
-        self.assertTrue(caller.answer.whole)
+        self.assertTrue(caller.answer.complete)
 
     def test_failing_handler_does_not_affect_other_calls(self):
         """The first handler that raised prevented all later ones."""
         callers = [self.edge.connect() for _ in range(3)]
         for caller in callers:
             self.edge.ask(caller)
-        self.edge.turn_until(lambda: len(self.edge.calls) == len(callers))
+        self.edge.run_loop_until(lambda: len(self.edge.calls) == len(callers))
         for call in self.edge.calls[:2]:
-            call.on_out_of_time = fail
+            call.on_shutdown_deadline = fail
         self.edge.calls[0].start(200, [("Transfer-Encoding", "chunked")])
         with self.assertLogs("postspring.transport", "ERROR"):
             self.stop()
@@ -150,20 +150,20 @@
             [200, 502, 502], [caller.answer.status for caller in callers]
         )
         self.assertEqual(
-            [False, True, True], [caller.answer.whole for caller in callers]
+            [False, True, True], [caller.answer.complete for caller in callers]
         )
 
     def test_partially_read_request_is_refused_as_not_run(self):
         caller = self.edge.connect()
         caller.send_raw(b"POST / HTTP/1.1\r\nHost: a\r\n")
-        self.edge.turn()
+        self.edge.run_loop()
         self.stop()
         self.assertTrue(caller.received.startswith(b"HTTP/1.1 503"))
 
     def test_unsent_bytes_are_logged(self):
         caller = self.edge.connect()
         self.edge.ask(caller)
-        self.edge.turn_until(lambda: self.edge.calls)
+        self.edge.run_loop_until(lambda: self.edge.calls)
         self.edge.calls.pop().respond(200, [], b"x" * LONG_ANSWER_BYTES)
         caller.poll = lambda: None
         line = self.stop()["stopped"]
@@ -181,7 +181,7 @@
         self.edge.shutdown.begin()
         self.edge.pass_time(PAUSE_SECONDS)
         with self.assertLogs("postspring.front", "INFO") as lines:
-            self.edge.turn_until(lambda: self.edge.stopped)
+            self.edge.run_loop_until(lambda: self.edge.stopped)
         self.assertEqual(["INFO"], [line.levelname for line in lines.records])
         self.assertIs(shutdown.Phase.ENDED, self.edge.shutdown.phase)
 
@@ -198,17 +198,17 @@
     def test_new_connections_are_refused_at_once(self):
         slow = self.edge.connect()
         self.edge.ask(slow)
-        self.edge.turn_until(lambda: self.edge.calls)
+        self.edge.run_loop_until(lambda: self.edge.calls)
         self.edge.shutdown.begin()
         waiting = self.edge.connect()
         self.edge.ask(waiting)
         self.edge.pass_time(PAUSE_SECONDS)
-        self.edge.turn_until(lambda: len(self.edge.calls) == 2)
+        self.edge.run_loop_until(lambda: len(self.edge.calls) == 2)
         with self.assertRaises(ConnectionRefusedError):
             self.edge.connect()
         self.assertFalse(self.edge.stopped)
         self.answer_until(lambda: slow.answer.settled)
-        self.assertTrue(slow.answer.whole)
+        self.assertTrue(slow.answer.complete)
         self.answer_until(lambda: waiting.answer.settled)
-        self.assertTrue(waiting.answer.whole)
+        self.assertTrue(waiting.answer.complete)
         self.answer_until(lambda: self.edge.stopped)
--- a/postspring/front/tests/test_silence.py
+++ b/postspring/front/tests/test_silent_connections.py
@@ -17,7 +17,9 @@
         started_at = self.fleet.timers.now()
         configuration = fleet_module.default_configuration(version)
         self.fleet.configure(configuration)
-        self.fleet.turn_until(lambda: node.configuration.version == version)
+        self.fleet.run_loop_until(
+            lambda: node.configuration.version == version
+        )
         return self.fleet.timers.now() - started_at
 
     def seconds(self, method, target, request, **headers):
@@ -34,7 +36,7 @@
         for number, caller in enumerate(callers):
             fields = self.fleet.headers(f"at-once-{number}", headers)
             caller.send(method, target, fields, b"")
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: all(caller.answer.settled for caller in callers)
         )
         return [caller.answer for caller in callers]
@@ -54,10 +56,10 @@
             }
             headers = self.fleet.headers(f"{prefix}-{number}", fields)
             caller.send("POST", "/stream/x", headers, b"x")
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: all(caller.answer.settled for caller in callers)
         )
-        return [caller.answer.whole for caller in callers]
+        return [caller.answer.complete for caller in callers]
 
     def test_configuration_takes_effect_within_its_bound(self):
         self.take_turns(8, "p")
@@ -100,9 +102,11 @@
         """Disconnect a VM from the store; return it and its helper."""
         disconnected, helper = self.fleet.nodes
         for node in self.fleet.nodes:
-            self.fleet.turn_until(lambda node=node: node.members.others)
+            self.fleet.run_loop_until(lambda node=node: node.members.others)
         disconnected.store._address = ("127.0.0.1", 1)
-        disconnected._peer_http.discard(self.fleet.store.address)
+        disconnected._peer_http.close_idle_connections(
+            self.fleet.store.address
+        )
         self.fleet.turn_for(3.0)
         return disconnected, helper
 
@@ -116,7 +120,7 @@
     def check_silence_at_read(self, subject):
         """Check a helper that goes silent at a read of a subject."""
         disconnected, helper = self.disconnect_from_store()
-        through = disconnected.log._through
+        through = disconnected.log._log_via
         silenced = []
 
         def silence_at_first_read(member):
@@ -131,8 +135,8 @@
             log.read = read_and_silence
             return log
 
-        disconnected.log._through = silence_at_first_read
-        self.fleet.turn_until(lambda: silenced)
+        disconnected.log._log_via = silence_at_first_read
+        self.fleet.run_loop_until(lambda: silenced)
         seconds = self.seconds_until_configured(disconnected, 5)
         self.assertLess(seconds, BOUND)
 
--- a/postspring/front/tests/test_turns.py
+++ b/postspring/front/tests/test_turns.py
@@ -11,7 +11,7 @@
 
     def test_stream_is_forwarded(self):
         answer = self.fleet.take_turn("a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         self.assertEqual(case.EVENTS, answer.body)
 
     def test_history_is_assembled(self):
@@ -23,7 +23,7 @@
     def test_another_vm_continues_the_program(self):
         self.fleet.take_turn("a")
         answer = self.fleet.take_turn("b", vm=1, previous_turn="a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         run = self.fleet.engines[0].runs[1]
         self.assertEqual(b"<a>w1\nw2\nw3\n<b>", run.body)
 
@@ -33,7 +33,7 @@
             self.fleet.stop_vm(node)
         self.fleet.start_vm("new")
         answer = self.fleet.take_turn("b", previous_turn="a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
 
     def test_unknown_previous_turn_is_not_found(self):
         answer = self.fleet.take_turn("b", previous_turn="x")
@@ -53,7 +53,7 @@
     def test_broken_stream_does_not_look_complete(self):
         self.fleet.engines[0].faults.cut = 1
         answer = self.fleet.take_turn("a")
-        self.assertFalse(answer.whole)
+        self.assertFalse(answer.complete)
         self.assertEqual(b"id: 1\ndata: w1\n\n", answer.body)
         again = self.fleet.take_turn("b", previous_turn="a")
         self.assertEqual(404, again.status)
--- a/postspring/front/tests/test_places.py
+++ b/postspring/front/tests/test_unrecorded_locations.py
@@ -7,11 +7,11 @@
 program, and a turn that was answered completely led to a 404.
 """
 
-from postspring.front.tests import test_absence
+from postspring.front.tests import test_missing_turns
 from postspring.platform import names
 
 
-class UnrecordedLocationTest(test_absence.AbsenceCase):
+class UnrecordedLocationTest(test_missing_turns.AbsenceCase):
     """Appends of locations are refused for some seconds; reads work."""
 
     def refuse_location_appends(self):
@@ -32,12 +32,12 @@
             self.fleet.start_vm(f"here-{number}")
         nodes = self.fleet.nodes
         for node in nodes:
-            self.fleet.turn_until(
-                lambda node=node: len(test_absence.others(node)) == 6
+            self.fleet.run_loop_until(
+                lambda node=node: len(test_missing_turns.others(node)) == 6
             )
         self.refuse_location_appends()
         answer = self.fleet.take_turn("a", vm=1, program_id="p0")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
         # VMs look for copies in the log, and record them, after 2 to 3 s.
         self.fleet.turn_for(0.5)
         copy_holders = [node for node in nodes if node.journal.held]
--- a/postspring/front/tests/test_unrecorded.py
+++ b/postspring/front/tests/test_unrecorded_turns.py
@@ -26,15 +26,15 @@
         } | headers
         fields = self.fleet.headers("a", fields)
         caller.send("POST", "/stream/x", fields, b"<a>")
-        self.fleet.turn_until(lambda: caller.answer.body)
+        self.fleet.run_loop_until(lambda: caller.answer.body)
         self.fleet.store.refuse = 503
-        self.fleet.turn_until(lambda: case.EVENTS == caller.answer.body)
+        self.fleet.run_loop_until(lambda: case.EVENTS == caller.answer.body)
         return caller
 
     def test_answer_ends_incomplete_at_the_deadline(self):
         caller = self.start_turn(deadline_ms="700")
-        self.fleet.turn_until(lambda: caller.answer.settled)
-        self.assertFalse(caller.answer.whole)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
+        self.assertFalse(caller.answer.complete)
         self.assertTrue(caller.answer.closed)
 
     def test_answer_is_complete_if_the_store_returns_in_time(self):
@@ -42,22 +42,22 @@
         self.fleet.turn_for(0.3)
         self.assertFalse(caller.answer.settled)
         self.fleet.store.refuse = 0
-        self.fleet.turn_until(lambda: caller.answer.settled)
-        self.assertTrue(caller.answer.whole)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
+        self.assertTrue(caller.answer.complete)
 
     def test_turn_is_recorded_afterwards(self):
         caller = self.start_turn(deadline_ms="700")
-        self.fleet.turn_until(lambda: caller.answer.settled)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
         self.fleet.store.refuse = 0
-        self.fleet.turn_until(lambda: not self.node.journal.unrecorded)
+        self.fleet.run_loop_until(lambda: not self.node.journal.unrecorded)
         answer = self.fleet.take_turn("b", previous_turn="a")
-        self.assertTrue(answer.whole)
+        self.assertTrue(answer.complete)
 
     def test_turn_is_charged_once(self):
         caller = self.start_turn(deadline_ms="700")
-        self.fleet.turn_until(lambda: caller.answer.settled)
+        self.fleet.run_loop_until(lambda: caller.answer.settled)
         self.fleet.store.refuse = 0
-        self.fleet.turn_until(lambda: not self.node.journal.unrecorded)
+        self.fleet.run_loop_until(lambda: not self.node.journal.unrecorded)
         program = self.node.journal._partitions.program("p1")
         self.assertEqual(12, program.settled)
 
@@ -67,4 +67,4 @@
         self.fleet._callers.remove(caller)
         self.fleet.turn_for(1.0)
         self.fleet.store.refuse = 0
-        self.fleet.turn_until(lambda: not self.node.journal.unrecorded)
+        self.fleet.run_loop_until(lambda: not self.node.journal.unrecorded)
--- a/postspring/front/tests/test_workspaces.py
+++ b/postspring/front/tests/test_workspaces.py
@@ -49,7 +49,7 @@
         """Write a configuration and wait until it is in force."""
         self.fleet.configure(configuration)
         version = configuration["version"]
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: all(
                 node.configuration.version == version
                 for node in self.fleet.nodes
@@ -122,7 +122,7 @@
         lines = [f"{name}: {value}" for name, value in fields]
         head = "\r\n".join(["GET /safe/x HTTP/1.1", *lines, "", ""])
         caller.send_raw(head.encode())
-        self.fleet.turn_until(lambda: caller.received)
+        self.fleet.run_loop_until(lambda: caller.received)
         self.assertIn(b" 401 ", caller.received)
 
     def test_public_route_needs_no_key(self):
@@ -155,7 +155,7 @@
         return self.call("turn", turn, key, vm, **headers)
 
     def test_turn_of_another_workspace_is_not_found(self):
-        self.assertTrue(self.take_turn("a").whole)
+        self.assertTrue(self.take_turn("a").complete)
         for vm in (0, 1):
             answer = self.take_turn("b", OTHER_KEY, vm, previous_turn="a")
             self.assertEqual(404, answer.status)
@@ -205,7 +205,7 @@
             with self.subTest(bad):
                 with self.assertLogs(level="ERROR") as logs:
                     self.fleet.configure(with_workspaces(9, **bad))
-                    self.fleet.turn_until(lambda: logs.output)
+                    self.fleet.run_loop_until(lambda: logs.output)
                 self.assertNotIn(OTHER_KEY, str(logs.output))
                 self.assertEqual(2, node.configuration.version)
                 self.assertEqual(200, self.call("safe", str(bad)).status)
@@ -217,11 +217,11 @@
     def setUp(self):
         super().setUp()
         self.node = self.fleet.nodes[0]
-        self.node.admission._longest_age = 0.5
+        self.node.admission._max_confirmed_age = 0.5
 
     def test_nothing_runs_after_the_bound(self):
         self.fleet.store.silent = True
-        self.fleet.turn_until(lambda: not self.node.admission.is_confirmed)
+        self.fleet.run_loop_until(lambda: not self.node.admission.is_confirmed)
         for kind in CALLS:
             with self.subTest(kind):
                 answer = self.call(kind, kind)
@@ -237,7 +237,7 @@
     vms = 2
 
     def test_collector_relays_confirmations_of_the_log(self):
-        self.fleet.turn_until(
+        self.fleet.run_loop_until(
             lambda: all(
                 len(node.members.by_name) == 2 for node in self.fleet.nodes
             )
@@ -253,7 +253,7 @@
         follower._read = lambda: None
         self.fleet.turn_for(1.0)
         self.call("safe", vm=vm)
-        self.fleet.turn_until(lambda: follower.confirmed_age < 1.0)
+        self.fleet.run_loop_until(lambda: follower.confirmed_age < 1.0)
 
 
 class ForwardedTurnTest(WorkspacesCase):
@@ -264,12 +264,12 @@
     def setUp(self):
         super().setUp()
         for node in self.fleet.nodes:
-            self.fleet.turn_until(
+            self.fleet.run_loop_until(
                 lambda node=node: len(node.members.listed) == self.vms - 1
             )
         self.fleet.store.refuse = 503
         claim = histories.Claim("author", 16, 1000)
-        turn = histories.WholeTurn(
+        turn = histories.CompletedTurn(
             histories.ProgramId(workspaces.scoped("acme", "p1")),
             histories.TurnId(workspaces.scoped("acme", "a")),
             claim,
@@ -278,7 +278,9 @@
             b"<a>",
             b"w\n",
         )
-        self.fleet.nodes[0].journal.keep_copy(histories.encode_record(turn))
+        self.fleet.nodes[0].journal.store_replica(
+            histories.encode_record(turn)
+        )
 
     def test_upstream_gets_the_workspace_and_no_key(self):
         answer = self.call("turn", "b", vm=1, previous_turn="a")
--- a/postspring/front/upstream_list.py
+++ b/postspring/front/upstream_follower.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
+from postspring.front import directory_updater
 from postspring.front import read_budget
-from postspring.front import upstream_watch
 from postspring import keyedlog
 from postspring import transport
 from postspring import upstreams
@@ -38,9 +38,9 @@
         Seconds between two entries that an upstream writes.
     updater : DirectoryUpdater
         Applies the entries to the directory.
-    ask_others : callable
+    request_view : callable
         Requests the view of a log partition from other VMs.
-    on_regained : callable
+    on_recovered : callable
         Called when the log answers again.
     """
 
@@ -51,25 +51,25 @@
         drain: float,
         heartbeat: float,
         directory: upstreams.Directory,
-        updater: upstream_watch.DirectoryUpdater,
-        ask_others: keyedlog.AskOthers,
-        on_regained: Callable[[], None] = lambda: None,
+        updater: directory_updater.DirectoryUpdater,
+        request_view: keyedlog.RequestView,
+        on_recovered: Callable[[], None] = lambda: None,
     ):
         self._timers = timers
         self._directory = directory
         self._drain = drain
         self._heartbeat = heartbeat
         self._frequent_reads_until = 0.0
-        self._on_regained = on_regained
+        self._on_recovered = on_recovered
         self.follower = keyedlog.Follower(
             log,
             timers,
             UPSTREAMS_PLACE,
             updater.replace_entries,
             updater.apply_entries,
-            pace=self._read_interval,
-            on_regained=self._on_log_regained,
-            ask_others=ask_others,
+            read_interval=self._read_interval,
+            on_recovered=self._on_log_regained,
+            request_view=request_view,
         )
 
     def start(self) -> None:
@@ -97,8 +97,8 @@
         """
         if outage.longest >= HEARTBEATS_TO_LAPSE * self._heartbeat:
             seconds = min(REANNOUNCE_SECONDS, self._drain)
-            self._directory.tolerate_missing(outage.away_at + seconds)
+            self._directory.tolerate_missing(outage.unavailable_at + seconds)
             self._frequent_reads_until = (
-                outage.regained_at + REANNOUNCE_SECONDS
+                outage.recovered_at + REANNOUNCE_SECONDS
             )
-        self._on_regained()
+        self._on_recovered()
--- a/postspring/histories/__init__.py
+++ b/postspring/histories/__init__.py
@@ -4,7 +4,8 @@
 from postspring.histories.accounts import Origin
 from postspring.histories.accounts import Ticket
 from postspring.histories.chains import Chain
-from postspring.histories.completion import NOWHERE
+from postspring.histories.contributions import TurnState
+from postspring.histories.durability import LOCAL_ONLY
 from postspring.histories.errors import HistoryError
 from postspring.histories.errors import IncompleteChain
 from postspring.histories.errors import JournalUnavailable
@@ -17,6 +18,7 @@
 from postspring.histories.program import Program
 from postspring.histories.program import Turn
 from postspring.histories.records import Claim
+from postspring.histories.records import CompletedTurn
 from postspring.histories.records import decode_record
 from postspring.histories.records import encode_record
 from postspring.histories.records import EndedTurn
@@ -27,12 +29,10 @@
 from postspring.histories.records import TurnId
 from postspring.histories.records import TurnLocation
 from postspring.histories.records import TurnRef
-from postspring.histories.records import WholeTurn
-from postspring.histories.shares import TurnState
-from postspring.histories.sizes import Sizes
+from postspring.histories.size_limits import SizeLimits
 
 __all__ = [
-    "NOWHERE",
+    "LOCAL_ONLY",
     "Chain",
     "Claim",
     "EndedTurn",
@@ -50,14 +50,14 @@
     "ProgramFold",
     "ProgramId",
     "ReplicaHolders",
-    "Sizes",
+    "SizeLimits",
     "Ticket",
     "Turn",
     "TurnId",
     "TurnLocation",
     "TurnRef",
     "TurnState",
-    "WholeTurn",
+    "CompletedTurn",
     "decode_record",
     "encode_record",
     "fits_key",
--- a/postspring/histories/accounts.py
+++ b/postspring/histories/accounts.py
@@ -22,13 +22,13 @@
 
     ``LOG``: the program's account in the log, by a record that opened the
     turn. ``RESERVE``: tokens that this VM has reserved in the log before.
-    ``HOME``: the offline account of a program that starts or continues here
+    ``OFFLINE``: the offline account of a program that starts or continues here
     while the log is unavailable.
     """
 
     LOG = "log"
     RESERVE = "reserve"
-    HOME = "home"
+    OFFLINE = "home"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -127,7 +127,7 @@
         turn: records.TurnId,
         ceiling: int,
         budget: int | None,
-        is_log_away: bool,
+        is_log_unavailable: bool,
     ) -> Ticket | None:
         """Return the right to run a turn, or None if this VM lacks tokens."""
         if budget is None:
@@ -135,24 +135,27 @@
         if self._reserve_left(program) >= ceiling:
             self._set_unsettled(program.id, Origin.RESERVE, turn, ceiling)
             return Ticket(program.id, turn, ceiling, budget, Origin.RESERVE)
-        if not is_log_away:
+        if not is_log_unavailable:
             return None
         limit = self._offline_limit(program, ceiling, budget)
         if limit <= 0:
             return None
-        self._set_unsettled(program.id, Origin.HOME, turn, limit)
-        return Ticket(program.id, turn, ceiling, budget, Origin.HOME, limit)
+        self._set_unsettled(program.id, Origin.OFFLINE, turn, limit)
+        return Ticket(program.id, turn, ceiling, budget, Origin.OFFLINE, limit)
 
     def can_admit(
         self,
         program: program_module.Program,
         ceiling: int,
-        is_log_away: bool,
+        is_log_unavailable: bool,
     ) -> bool:
         """Return whether a local account has the tokens for a turn."""
         if self._reserve_left(program) >= ceiling:
             return True
-        return is_log_away and self._offline_limit(program, ceiling, None) > 0
+        return (
+            is_log_unavailable
+            and self._offline_limit(program, ceiling, None) > 0
+        )
 
     def _reserve_left(self, program: program_module.Program) -> int:
         """Return the tokens that fitted, are unspent and are charged here.
@@ -179,11 +182,11 @@
         if offline_account is None:
             return 0
         left = offline_account.tokens - self._unsettled_tokens(
-            program.id, Origin.HOME
+            program.id, Origin.OFFLINE
         )
         if budget is not None:
             charged_in_log = program.charged + program.reserved
-            used = self._unsettled_tokens(program.id, Origin.HOME)
+            used = self._unsettled_tokens(program.id, Origin.OFFLINE)
             left = min(left, budget - charged_in_log - used)
         if offline_account.is_certain:
             return ceiling if left >= ceiling else 0
@@ -260,13 +263,13 @@
         """Note that the log charges what a turn used, or that it used 0."""
         self._clear_unsettled(ticket.program, ticket.origin, ticket.turn)
         offline_account = self._offline_by_program.get(ticket.program)
-        if ticket.origin is Origin.HOME and offline_account is not None:
+        if ticket.origin is Origin.OFFLINE and offline_account is not None:
             offline_account.tokens -= tokens
         is_bounded = ticket.budget is not None
         if ticket.origin is Origin.RESERVE and is_bounded and tokens:
             self._reserve(ticket.program).usable -= tokens
 
-    def begin_home(
+    def start_offline_account(
         self,
         program: records.ProgramId,
         ceiling: int,
@@ -303,7 +306,7 @@
         offline_account = _OfflineAccount(tokens, is_certain)
         self._offline_by_program.setdefault(program, offline_account)
 
-    def home_tokens(self, program: records.ProgramId) -> int:
+    def offline_tokens(self, program: records.ProgramId) -> int:
         """Return the tokens of an offline account that are not settled."""
         offline_account = self._offline_by_program.get(program)
         return 0 if offline_account is None else max(0, offline_account.tokens)
@@ -315,7 +318,7 @@
 
         A running turn counts with the most that it may use.
         """
-        return dict(self._unsettled.get((program, Origin.HOME), {}))
+        return dict(self._unsettled.get((program, Origin.OFFLINE), {}))
 
     def has_offline_account(self, program: records.ProgramId) -> bool:
         """Return whether a program has an offline account here."""
@@ -325,11 +328,11 @@
     def has_offline_accounts(self) -> bool:
         """Whether there are offline accounts, or unsettled turns of one."""
         origins = {origin for program, origin in self._unsettled}
-        return bool(self._offline_by_program) or Origin.HOME in origins
+        return bool(self._offline_by_program) or Origin.OFFLINE in origins
 
     def close_offline_account(self, program: records.ProgramId) -> None:
         """Close an offline account if all its turns are settled."""
-        if not self._unsettled.get((program, Origin.HOME)):
+        if not self._unsettled.get((program, Origin.OFFLINE)):
             self._offline_by_program.pop(program, None)
 
     # -- own ------------------------------------------------------------------
--- a/postspring/histories/claims.py
+++ b/postspring/histories/claims.py
@@ -3,14 +3,14 @@
 import dataclasses
 
 from postspring.histories import accounts
+from postspring.histories import contributions
 from postspring.histories import fold as fold_module
 from postspring.histories import program as program_module
 from postspring.histories import records
-from postspring.histories import shares
 
 __all__ = ["ClaimWriter"]
 
-OPEN = shares.TurnState.OPEN
+OPEN = contributions.TurnState.OPEN
 
 
 class ClaimWriter:
@@ -57,7 +57,7 @@
         fold: fold_module.ProgramFold,
         record: records.OpenedTurn,
         ticket: accounts.Ticket,
-    ) -> tuple[shares.TurnState, accounts.Ticket]:
+    ) -> tuple[contributions.TurnState, accounts.Ticket]:
         """Return whether a turn may run, and its ticket.
 
         The ticket leaves out a reserve that did not fit, so the record of the
@@ -122,7 +122,7 @@
     def note_settled(
         self,
         fold: fold_module.ProgramFold,
-        record: records.WholeTurn | records.EndedTurn,
+        record: records.CompletedTurn | records.EndedTurn,
         ticket: accounts.Ticket,
     ) -> None:
         """Note that the record of a turn's end is in the log."""
--- a/postspring/histories/shares.py
+++ b/postspring/histories/contributions.py
@@ -14,7 +14,7 @@
 
     ``REFUSED`` turns did not fit the budget and never run. ``DEFERRED`` turns
     would fit if tokens were released, such as other VMs' reserves, and never
-    run either. The id of a ``TAKEN`` turn belongs to a turn that may be
+    run either. The id of a ``ID_IN_USE`` turn belongs to a turn that may be
     running. ``ENDED`` turns ran or were withdrawn, and are not part of the
     history.
     """
@@ -22,8 +22,8 @@
     OPEN = "open"
     REFUSED = "refused"
     DEFERRED = "deferred"
-    TAKEN = "taken"
-    WHOLE = "whole"
+    ID_IN_USE = "taken"
+    COMPLETED = "whole"
     ENDED = "ended"
 
 
--- a/postspring/histories/completion.py
+++ b/postspring/histories/durability.py
@@ -9,7 +9,7 @@
     "DEFAULT_TIMEOUT_SECONDS",
     "HELD",
     "LOGGED",
-    "NOWHERE",
+    "LOCAL_ONLY",
     "DurabilityWait",
     "PairLatch",
 ]
@@ -33,7 +33,7 @@
 # Where a turn is stored when the wait ends.
 LOGGED = "logged"
 HELD = "held"
-NOWHERE = "nowhere"
+LOCAL_ONLY = "nowhere"
 
 RecordElsewhere = Callable[[float, Callable[[bool], None]], None]
 
@@ -133,7 +133,7 @@
         A turn that other VMs hold counts as held, since it can be continued:
         if its answer were cut off, the turn would run again.
         """
-        self._finish(HELD if self._is_replicated else NOWHERE)
+        self._finish(HELD if self._is_replicated else LOCAL_ONLY)
 
     # -- own ------------------------------------------------------------------
 
@@ -146,7 +146,7 @@
 
     def _replicate(self) -> None:
         if self._on_done is not None:
-            self._replica_holders.keep(
+            self._replica_holders.replicate(
                 self._record, self._replicated, self._is_unavailable()
             )
 
--- a/postspring/histories/fold.py
+++ b/postspring/histories/fold.py
@@ -48,7 +48,7 @@
         program = self.program(record.program)
         if isinstance(record, records.OpenedTurn):
             program.open(record, is_ordered)
-        elif isinstance(record, records.WholeTurn):
+        elif isinstance(record, records.CompletedTurn):
             program.complete(record, is_ordered)
         elif isinstance(record, records.EndedTurn):
             program.end(record, is_ordered)
@@ -61,10 +61,12 @@
             self.program_by_id[program] = found
         return found
 
-    def whole_turn(self, ref: records.TurnRef) -> program_module.Turn | None:
+    def completed_turn(
+        self, ref: records.TurnRef
+    ) -> program_module.Turn | None:
         """Return a turn of the history, or None if this fold lacks it."""
         found = self.program_by_id.get(ref.program)
-        return None if found is None else found.whole_turn(ref.turn)
+        return None if found is None else found.completed_turn(ref.turn)
 
 
 class LocationFold:
--- a/postspring/histories/held.py
+++ b/postspring/histories/held_turns.py
@@ -17,7 +17,7 @@
     on_done: Callable[[], None]
 
 
-class HeldTurns(dict[records.TurnRef, records.WholeTurn]):
+class HeldTurns(dict[records.TurnRef, records.CompletedTurn]):
     """The turns that this VM holds until it has their records from the log.
 
     Explanation
@@ -31,7 +31,7 @@
 
     >>> held = HeldTurns()
     >>> claim = records.Claim("vm", ceiling=8, budget=None)
-    >>> turn = records.WholeTurn("p", "t", claim, None, 4, b"", b"")
+    >>> turn = records.CompletedTurn("p", "t", claim, None, 4, b"", b"")
     >>> ref = held.add(turn)
     >>> held.call_when_recorded([ref], lambda: print("recorded"))
     >>> held.note_recorded_elsewhere(ref)
@@ -47,7 +47,7 @@
         self._waiters: list[_Waiter] = []
 
     @property
-    def unrecorded(self) -> Iterable[records.WholeTurn]:
+    def unrecorded(self) -> Iterable[records.CompletedTurn]:
         """Turns that are not known to be in the log."""
         return (turn for ref, turn in self.items() if self.is_unrecorded(ref))
 
@@ -55,7 +55,7 @@
         """Return whether a turn could be lost with the VMs that hold it."""
         return ref in self and ref not in self._recorded_elsewhere
 
-    def add(self, turn: records.WholeTurn) -> records.TurnRef:
+    def add(self, turn: records.CompletedTurn) -> records.TurnRef:
         """Hold a turn; return its reference."""
         ref = records.TurnRef(turn.program, turn.turn)
         self[ref] = turn
--- a/postspring/histories/journal.py
+++ b/postspring/histories/journal.py
@@ -13,21 +13,21 @@
 
 from postspring.histories import accounts
 from postspring.histories import claims
-from postspring.histories import completion
-from postspring.histories import copies
+from postspring.histories import contributions
+from postspring.histories import durability
 from postspring.histories import errors
 from postspring.histories import fold as fold_module
 from postspring.histories import handover
-from postspring.histories import held
-from postspring.histories import openings
+from postspring.histories import held_turns
 from postspring.histories import partitions
 from postspring.histories import ports
 from postspring.histories import reading
 from postspring.histories import recording
 from postspring.histories import records
-from postspring.histories import shares
-from postspring.histories import sizes as sizes_module
-from postspring.histories import whole_turns
+from postspring.histories import replicas
+from postspring.histories import size_limits as sizes_module
+from postspring.histories import turn_opener
+from postspring.histories import turn_recorder
 from postspring import keyedlog
 from postspring.transport import timers as timers_module
 
@@ -66,7 +66,7 @@
         catch_up_rate: Callable[[], float] = lambda: (
             partitions.DEFAULT_CATCH_UP_RATE
         ),
-        sizes: sizes_module.Sizes = sizes_module.Sizes(),
+        sizes: sizes_module.SizeLimits = sizes_module.SizeLimits(),
     ):
         self.sizes = sizes
         self._timers = timers
@@ -78,11 +78,11 @@
         )
         self.accounts = accounts.LocalAccounts(author)
         self._claim_writer = claims.ClaimWriter(self.accounts)
-        self._opener = openings.TurnOpener(
+        self._opener = turn_opener.TurnOpener(
             self._claim_writer, self._commit, self._append_withdrawal
         )
         self.replica_holders = replica_holders or ports.NoReplicaHolders()
-        self._ended_replicas = copies.EndedTurnReplicas(
+        self._ended_replicas = replicas.EndedTurnReplicas(
             timers,
             self.refresh_program,
             lambda record: self._partitions.program(
@@ -90,8 +90,8 @@
             ).has_settlement(record),
             self._append_ended_replica,
         )
-        self._held_by_ref = held.HeldTurns()
-        self._recorder = whole_turns.TurnRecorder(
+        self._held_by_ref = held_turns.HeldTurns()
+        self._recorder = turn_recorder.TurnRecorder(
             self._partitions,
             self._held_by_ref,
             self.known_turn,
@@ -119,23 +119,23 @@
     @property
     def _unrecorded_records(
         self,
-    ) -> list[records.WholeTurn | records.EndedTurn]:
+    ) -> list[records.CompletedTurn | records.EndedTurn]:
         return [
             *self._held_by_ref.unrecorded,
             *self._settling.values(),
             *self._ended_replicas.stored,
         ]
 
-    def hand_over_while(self, is_stopping: Callable[[], bool]) -> None:
+    def start_handover(self, is_stopping: Callable[[], bool]) -> None:
         """Send unrecorded records to VMs that keep running, on stopping."""
         self._timers.call_every(
             handover.CHECK_SECONDS,
             lambda: is_stopping() and self._handover.send_next_batch(),
         )
 
-    def log_is_back(self) -> None:
+    def on_log_recovered(self) -> None:
         """Start the retries of all that waits for the log."""
-        self._partitions.log_is_back()
+        self._partitions.on_log_recovered()
 
     # -- writing --------------------------------------------------------------
 
@@ -146,8 +146,8 @@
         ceiling: int,
         budget: int | None,
         timeout: float,
-        on_done: openings.OnOpened,
-        on_error: openings.OnError,
+        on_done: turn_opener.OnOpened,
+        on_error: turn_opener.OnError,
     ) -> None:
         """Get the right to run a turn, from a local account or the log."""
         known = self._partitions.program(program)
@@ -169,22 +169,22 @@
         )
         if ticket is not None:
             self._opener.note_running(ref)
-            on_done(shares.TurnState.OPEN, ticket)
-        elif known.is_spent(ceiling, budget):
+            on_done(contributions.TurnState.OPEN, ticket)
+        elif known.is_budget_exhausted(ceiling, budget):
             # The tokens of settled turns never decrease: no record can make
             # this turn fit.
-            on_done(shares.TurnState.REFUSED, log_ticket)
+            on_done(contributions.TurnState.REFUSED, log_ticket)
         else:
             if is_unresponsive:
                 timeout = min(timeout, reading.FAILING_TIMEOUT_SECONDS)
             self._opener.open(known, log_ticket, timeout, on_done, on_error)
 
-    def is_spent(
+    def is_budget_exhausted(
         self, program: records.ProgramId, ceiling: int, budget: int | None
     ) -> bool:
         """Return whether no turn of this size can ever run again."""
         known = self._partitions.program(program)
-        return known.is_spent(ceiling, budget)
+        return known.is_budget_exhausted(ceiling, budget)
 
     def end_turn(
         self,
@@ -223,11 +223,11 @@
 
         report_loss = self._make_loss_reporter(ticket)
         self._commit(record, recording.KEEP_SECONDS, settled, report_loss)
-        if ticket.origin is accounts.Origin.HOME:
+        if ticket.origin is accounts.Origin.OFFLINE:
             # No record in the log charges it, and this VM may die before one
             # does.
             data = records.encode_record(record)
-            self.replica_holders.keep(data, lambda copies: None)
+            self.replica_holders.replicate(data, lambda copies: None)
 
     def complete_turn(
         self,
@@ -238,7 +238,7 @@
         output_data: bytes,
         upstream: str,
         on_done: Callable[[str], None],
-        timeout: float = completion.DEFAULT_TIMEOUT_SECONDS,
+        timeout: float = durability.DEFAULT_TIMEOUT_SECONDS,
     ) -> Callable[[], None]:
         """Add a completed turn to the history, and record its location.
 
@@ -247,7 +247,7 @@
         the timeout, ``nowhere`` but here. Its append is retried in any case.
         Returns a function that ends the wait at once.
         """
-        record = records.WholeTurn(
+        record = records.CompletedTurn(
             ticket.program,
             ticket.turn,
             self._settlement_claim(ticket, tokens),
@@ -259,7 +259,7 @@
         )
         self._opener.note_stopped(records.TurnRef(ticket.program, ticket.turn))
         self.accounts.note_spent(ticket, tokens)
-        durability_wait = completion.DurabilityWait(
+        durability_wait = durability.DurabilityWait(
             self._timers,
             self.replica_holders,
             records.encode_record(record),
@@ -278,12 +278,14 @@
         durability_wait.start(on_done)
         return durability_wait.finish_now
 
-    def keep_copy(self, data: bytes, is_log_away: bool = False) -> None:
+    def store_replica(
+        self, data: bytes, is_log_unavailable: bool = False
+    ) -> None:
         """Hold a replica of another VM's record, and get it into the log.
 
         Parameters
         ----------
-        is_log_away : bool
+        is_log_unavailable : bool
             Whether its author can't reach the log.
 
         Raises
@@ -301,16 +303,16 @@
         if not is_held and not self._partitions.is_recorded(ref):
             self._held_by_ref.add(record)
             report_loss = self._make_loss_reporter(record)
-            replica_check = copies.ReplicaCheck(
+            replica_check = replicas.ReplicaCheck(
                 self, self._timers, record, report_loss
             )
             place = partitions.place_of_program(record.program)
-            is_urgent = is_log_away and self._partitions.is_fast(place)
+            is_urgent = is_log_unavailable and self._partitions.is_fast(place)
             fields = {"program": record.program, "request": record.turn}
             LOG.info("copy kept", extra=fields | {"is_urgent": is_urgent})
             replica_check.start(is_urgent)
 
-    def record_for_another(
+    def record_for_peer(
         self, turns: list[bytes], on_done: Callable[[], None]
     ) -> None:
         """Append completed turns, with locations, for a VM without the log.
@@ -325,17 +327,17 @@
         decoded = [records.decode_record(data) for data in turns]
         for record in decoded:
             _check_is_completed(record)
-        self._recorder.record_for_another(decoded, on_done)
+        self._recorder.record_for_peer(decoded, on_done)
 
     def drop_replica(self, ref: records.TurnRef) -> None:
         """Drop a replica whose record and location are in the log."""
         self._held_by_ref.note_recorded(ref)
 
-    def append_replica(self, record: records.WholeTurn) -> None:
+    def append_replica(self, record: records.CompletedTurn) -> None:
         """Append a replica that the log lacks."""
         self._recorder.append_replica(record, 0.0)
 
-    def append_replica_location(self, record: records.WholeTurn) -> None:
+    def append_replica_location(self, record: records.CompletedTurn) -> None:
         """Append the location of a replica whose record is in the log."""
         ref = records.TurnRef(record.program, record.turn)
         logged = functools.partial(self.drop_replica, ref)
@@ -346,12 +348,12 @@
 
     # -- own ------------------------------------------------------------------
 
-    def _make_loss_reporter(self, item) -> openings.OnError:
+    def _make_loss_reporter(self, item) -> turn_opener.OnError:
         """Return the error handler that logs a record as lost."""
 
         def report(error: errors.HistoryError) -> None:
             ref = records.TurnRef(item.program, item.turn)
-            is_completed = isinstance(item, records.WholeTurn)
+            is_completed = isinstance(item, records.CompletedTurn)
             # A turn that another VM has recorded is not lost, and a loss is
             # logged once.
             is_lost = not is_completed or self._held_by_ref.is_unrecorded(ref)
@@ -387,5 +389,5 @@
 
 
 def _check_is_completed(record: records.Record) -> None:
-    if not isinstance(record, records.WholeTurn):
+    if not isinstance(record, records.CompletedTurn):
         raise errors.MalformedRecord("not the record of a completed turn")
--- a/postspring/histories/partition.py
+++ b/postspring/histories/partition.py
@@ -13,10 +13,10 @@
 import math
 from typing import Any
 
-from postspring.histories import appending
 from postspring.histories import errors
+from postspring.histories import hedged_append
 from postspring.histories import reachability
-from postspring.histories import sizes
+from postspring.histories import size_limits
 from postspring import keyedlog
 from postspring.transport import timers as timers_module
 
@@ -76,7 +76,7 @@
         on_recovered: Callable[[], None] = lambda: None,
         is_ordered: bool = True,
         pace_retry: Callable[[float], float] = lambda seconds: seconds,
-        call_bytes: int = sizes.Sizes().call,
+        call_bytes: int = size_limits.SizeLimits().call,
     ):
         self._call_bytes = call_bytes
         self._pace_retry = pace_retry
@@ -226,8 +226,8 @@
 
     def _append(self) -> None:
         entries = [commit.entry for commit in self._commits]
-        count = sizes.first_batch_length(entries, self._call_bytes)
-        appending.HedgedAppend(
+        count = size_limits.first_batch_length(entries, self._call_bytes)
+        hedged_append.HedgedAppend(
             functools.partial(self._log.append, self._place, entries[:count]),
             self._timers,
             self._log_health.resend_pauses,
--- a/postspring/histories/partitions.py
+++ b/postspring/histories/partitions.py
@@ -10,8 +10,8 @@
 from postspring.histories import program as program_module
 from postspring.histories import reachability
 from postspring.histories import records
-from postspring.histories import retry_pace
-from postspring.histories import sizes as sizes_module
+from postspring.histories import retry_pacer
+from postspring.histories import size_limits as sizes_module
 from postspring import keyedlog
 from postspring.transport import timers as timers_module
 
@@ -68,10 +68,10 @@
         log: keyedlog.KeyedLog,
         timers: timers_module.Timers,
         catch_up_rate: Callable[[], float] = lambda: DEFAULT_CATCH_UP_RATE,
-        sizes: sizes_module.Sizes = sizes_module.Sizes(),
+        sizes: sizes_module.SizeLimits = sizes_module.SizeLimits(),
     ):
         self._sizes = sizes
-        self._retry_pacer = retry_pace.RetryPacer(timers, catch_up_rate)
+        self._retry_pacer = retry_pacer.RetryPacer(timers, catch_up_rate)
         self._catch_up_ends_at = -math.inf
         self._log = log
         self._log_health = reachability.LogHealth(log)
@@ -97,7 +97,7 @@
                 place,
                 _fold_type_by_subject[place.subject],
                 self._log_health,
-                self.log_is_back,
+                self.on_log_recovered,
                 is_ordered=place.subject is keyedlog.Subject.PROGRAMS,
                 pace_retry=self._retry_pacer.allot_pause,
                 call_bytes=self._sizes.call,
@@ -113,15 +113,19 @@
             found = partition.fold.program_by_id.get(program)
         return found or program_module.Program(program)
 
-    def whole_turn(self, ref: records.TurnRef) -> program_module.Turn | None:
+    def completed_turn(
+        self, ref: records.TurnRef
+    ) -> program_module.Turn | None:
         """Return a turn of the history if this VM has folded it."""
         partition = self.find(place_of_program(ref.program))
-        return None if partition is None else partition.fold.whole_turn(ref)
+        return (
+            None if partition is None else partition.fold.completed_turn(ref)
+        )
 
     def is_recorded(self, ref: records.TurnRef) -> bool:
         """Return whether a turn and its location are known to be recorded."""
         partition = self.find(place_of_location(ref.turn))
-        if partition is None or self.whole_turn(ref) is None:
+        if partition is None or self.completed_turn(ref) is None:
             return False
         return ref.turn in partition.fold.program_by_turn
 
@@ -137,7 +141,7 @@
         """Return whether a partition is available and appends are fast."""
         return not self.is_unavailable(place) and self._log_health.is_fast
 
-    def log_is_back(self) -> None:
+    def on_log_recovered(self) -> None:
         """Schedule all pending retries at the catch-up rate.
 
         Every partition whose call succeeds again calls this: while retries are
--- a/postspring/histories/ports.py
+++ b/postspring/histories/ports.py
@@ -10,17 +10,17 @@
     """Other VMs, which hold replicas of records that the log lacks."""
 
     @abc.abstractmethod
-    def keep(
+    def replicate(
         self,
         record: bytes,
         on_done: Callable[[int], None],
-        is_log_away: bool = False,
+        is_log_unavailable: bool = False,
     ) -> None:
         """Send a replica to some VMs; report how many of them hold it.
 
         Parameters
         ----------
-        is_log_away : bool
+        is_log_unavailable : bool
             This VM can't reach the log, so a VM whose log answers fast records
             the replica without the usual delay.
         """
@@ -57,6 +57,6 @@
 class NoReplicaHolders(ReplicaHolders):
     """A VM without other VMs to hold its replicas."""
 
-    def keep(self, record, on_done, is_log_away=False) -> None:
+    def replicate(self, record, on_done, is_log_unavailable=False) -> None:
         """Report that no VM holds a replica."""
         on_done(0)
--- a/postspring/histories/program.py
+++ b/postspring/histories/program.py
@@ -2,8 +2,8 @@
 
 import dataclasses
 
+from postspring.histories import contributions
 from postspring.histories import records
-from postspring.histories import shares
 
 __all__ = ["Program", "Turn"]
 
@@ -14,12 +14,12 @@
 # A VM may reserve one part in this many of the remaining budget. A
 # conversation's turns run on many VMs, and the reserve of a dead VM is never
 # released.
-RESERVED_PART = 8
+RESERVE_DIVISOR = 8
 
 _RANK_BY_STATE = {
-    shares.TurnState.OPEN: 0,
-    shares.TurnState.ENDED: 1,
-    shares.TurnState.WHOLE: 2,
+    contributions.TurnState.OPEN: 0,
+    contributions.TurnState.ENDED: 1,
+    contributions.TurnState.COMPLETED: 2,
 }
 
 
@@ -27,17 +27,17 @@
 class Turn:
     """One turn of a program."""
 
-    state: shares.TurnState
+    state: contributions.TurnState
     parent: records.TurnRef | None = None
     input: bytes = b""
     output: bytes = b""
     upstream: str = ""
 
     @classmethod
-    def from_record(cls, record: records.WholeTurn) -> "Turn":
+    def from_record(cls, record: records.CompletedTurn) -> "Turn":
         """Return the turn that a record of a completed turn describes."""
         return cls(
-            shares.TurnState.WHOLE,
+            contributions.TurnState.COMPLETED,
             record.parent,
             record.input,
             record.output,
@@ -115,7 +115,7 @@
         self.charged = 0
         self.settled = 0
         self._contributions_by_turn: dict[
-            records.TurnId, list[shares.Contribution]
+            records.TurnId, list[contributions.Contribution]
         ] = {}
         self._net_reserve_by_author: dict[str, int] = {}
         self._upstream_by_line: dict[str, str] = {}
@@ -138,7 +138,7 @@
 
     def open(
         self, record: records.OpenedTurn, is_ordered: bool = True
-    ) -> shares.TurnState | None:
+    ) -> contributions.TurnState | None:
         """Fold a record that opens a turn; return whether the turn may run.
 
         Parameters
@@ -147,12 +147,12 @@
             Whether all records before this one were folded before it.
             Otherwise nothing is decided until its author calls ``decide``.
         """
-        self._merge_turn(record.turn, Turn(shares.TurnState.OPEN))
+        self._merge_turn(record.turn, Turn(contributions.TurnState.OPEN))
         self._add_record(record, is_ordered)
         return self.decide(record).state if is_ordered else None
 
     def complete(
-        self, record: records.WholeTurn, is_ordered: bool = True
+        self, record: records.CompletedTurn, is_ordered: bool = True
     ) -> None:
         """Fold the record of a completed turn."""
         self._merge_turn(record.turn, Turn.from_record(record))
@@ -160,7 +160,7 @@
 
     def end(self, record: records.EndedTurn, is_ordered: bool = True) -> None:
         """Fold the record of a turn that ended without a history."""
-        self._merge_turn(record.turn, Turn(shares.TurnState.ENDED))
+        self._merge_turn(record.turn, Turn(contributions.TurnState.ENDED))
         self._add_record(record, is_ordered)
         if is_ordered:
             self.note_upstream(record.line, record.upstream)
@@ -171,7 +171,7 @@
             self._upstream_by_line.pop(line, None)
             self._upstream_by_line[line] = upstream
 
-    def place_of(self, line: str) -> str:
+    def last_upstream_of(self, line: str) -> str:
         """Return the upstream where a conversation ran last, or empty.
 
         A new conversation starts with what its program has generated, which is
@@ -181,7 +181,10 @@
         --------
         >>> program = Program("p")
         >>> program.note_upstream("main", "u1")
-        >>> program.place_of("main"), program.place_of("sub-agent")
+        >>> (
+        ...     program.last_upstream_of("main"),
+        ...     program.last_upstream_of("sub-agent"),
+        ... )
         ('u1', 'u1')
         """
         found = self._upstream_by_line.get(line)
@@ -189,14 +192,17 @@
             found = next(reversed(self._upstream_by_line.values()))
         return found or ""
 
-    def whole_turn(self, turn: records.TurnId) -> Turn | None:
+    def completed_turn(self, turn: records.TurnId) -> Turn | None:
         """Return a turn of the history, or None if it is not completed."""
         found = self.turn_by_id.get(turn)
-        if found is not None and found.state is shares.TurnState.WHOLE:
+        if (
+            found is not None
+            and found.state is contributions.TurnState.COMPLETED
+        ):
             return found
         return None
 
-    def decide(self, record) -> shares.Decision:
+    def decide(self, record) -> contributions.Decision:
         """Return the decision on a folded record, which is taken once.
 
         A record that was read out of order is decided by all known records,
@@ -205,7 +211,9 @@
         contribution = self._contribution_of(record)
         entry = contribution.find(_entry(record))
         if entry is None:
-            return shares.Decision(shares.TurnState.DEFERRED, False)
+            return contributions.Decision(
+                contributions.TurnState.DEFERRED, False
+            )
         if entry.decision is None:
             entry.decision = self._decide(record, contribution, entry)
         return entry.decision
@@ -221,14 +229,16 @@
             )
         )
 
-    def state_after_run(self, turn: records.TurnId) -> shares.TurnState | None:
+    def state_after_run(
+        self, turn: records.TurnId
+    ) -> contributions.TurnState | None:
         """Return the state of a turn that has ended and may have run."""
         found = self._contributions_by_turn.get(turn, ())
         if any(contribution.has_run for contribution in found):
             return self.turn_by_id[turn].state
         return None
 
-    def is_spent(self, ceiling: int, budget: int | None) -> bool:
+    def is_budget_exhausted(self, ceiling: int, budget: int | None) -> bool:
         """Return whether no turn of this size can ever fit the budget."""
         return budget is not None and self.settled + ceiling > budget
 
@@ -251,7 +261,7 @@
         if budget is None:
             return 0
         rest = budget - self.charged - self.reserved - used
-        spare = min(rest // RESERVED_PART, rest - KEPT_FREE_TURNS * ceiling)
+        spare = min(rest // RESERVE_DIVISOR, rest - KEPT_FREE_TURNS * ceiling)
         added = min(RESERVE_TURNS * ceiling - own, spare)
         return added if added > 0 and own + added >= ceiling else 0
 
@@ -262,12 +272,12 @@
         if known is None or known.rank < turn.rank:
             self.turn_by_id[turn_id] = turn
 
-    def _contribution_of(self, record) -> shares.Contribution:
+    def _contribution_of(self, record) -> contributions.Contribution:
         found = self._contributions_by_turn.setdefault(record.turn, [])
         for contribution in found:
             if contribution.author == record.claim.author:
                 return contribution
-        found.append(shares.Contribution(record.claim.author))
+        found.append(contributions.Contribution(record.claim.author))
         return found[-1]
 
     def _add_record(self, record, is_ordered: bool) -> None:
@@ -298,43 +308,47 @@
             return sum(contribution.settled for contribution in found)
         return sum(contribution.charged for contribution in found)
 
-    def _decide(self, record, contribution, entry) -> shares.Decision:
+    def _decide(self, record, contribution, entry) -> contributions.Decision:
         """Decide on a record by all folded records, itself included."""
         claim = record.claim
         total = self.charged + self.reserved
         reserve_fits = claim.budget is None or total <= claim.budget
         if entry.tokens is not None:
-            return shares.Decision(None, reserve_fits)
+            return contributions.Decision(None, reserve_fits)
         state = self._conflicting_state(record.turn, contribution)
         if state is not None:
-            return shares.Decision(state, False)
+            return contributions.Decision(state, False)
         if reserve_fits:
-            return shares.Decision(shares.TurnState.OPEN, True)
+            return contributions.Decision(contributions.TurnState.OPEN, True)
         net = max(0, self._net_reserve_by_author[contribution.author])
         if total - min(claim.granted, net) <= claim.budget:
-            return shares.Decision(shares.TurnState.OPEN, False)
+            return contributions.Decision(contributions.TurnState.OPEN, False)
         if (
             self._certain_charge_of_others(contribution) + claim.ceiling
             > claim.budget
         ):
-            return shares.Decision(shares.TurnState.REFUSED, False)
-        return shares.Decision(shares.TurnState.DEFERRED, False)
+            return contributions.Decision(
+                contributions.TurnState.REFUSED, False
+            )
+        return contributions.Decision(contributions.TurnState.DEFERRED, False)
 
     def _conflicting_state(
-        self, turn: records.TurnId, own: shares.Contribution
-    ) -> shares.TurnState | None:
+        self, turn: records.TurnId, own: contributions.Contribution
+    ) -> contributions.TurnState | None:
         """Return the state that keeps a turn's id from being used, if any."""
         ended = self.state_after_run(turn)
         if ended is not None:
             return ended
         if own.is_settled:
-            return shares.TurnState.DEFERRED
+            return contributions.TurnState.DEFERRED
         for contribution in self._contributions_by_turn[turn]:
             if contribution is not own and not contribution.is_settled:
-                return shares.TurnState.TAKEN
+                return contributions.TurnState.ID_IN_USE
         return None
 
-    def _certain_charge_of_others(self, own: shares.Contribution) -> int:
+    def _certain_charge_of_others(
+        self, own: contributions.Contribution
+    ) -> int:
         """Return the charge of turns that have run, or surely may run."""
         return self.settled + sum(
             contribution.charged
@@ -345,8 +359,8 @@
         )
 
 
-def _entry(record) -> shares.LedgerEntry:
+def _entry(record) -> contributions.LedgerEntry:
     if isinstance(record, records.OpenedTurn):
-        return shares.LedgerEntry(record.claim)
-    is_completed = isinstance(record, records.WholeTurn)
-    return shares.LedgerEntry(record.claim, record.tokens, is_completed)
+        return contributions.LedgerEntry(record.claim)
+    is_completed = isinstance(record, records.CompletedTurn)
+    return contributions.LedgerEntry(record.claim, record.tokens, is_completed)
--- a/postspring/histories/reachability.py
+++ b/postspring/histories/reachability.py
@@ -45,7 +45,7 @@
     def __init__(self, log: keyedlog.KeyedLog):
         self._log = log
         self.answer_count = 0
-        self._append_time = keyedlog.UsualTime()
+        self._append_time = keyedlog.AverageDuration()
 
     @property
     def is_down(self) -> bool:
@@ -69,13 +69,14 @@
     def resend_pauses(self) -> list[float]:
         """Pauses after which an append without an answer is sent again."""
         return [
-            self._append_time.late_after(minimum) for minimum in RESEND_SECONDS
+            self._append_time.late_threshold(minimum)
+            for minimum in RESEND_SECONDS
         ]
 
     @property
     def unresponsive_seconds(self) -> float:
         """Seconds after which an append without an answer counts as failed."""
-        return self._append_time.late_after(
+        return self._append_time.late_threshold(
             UNRESPONSIVE_SECONDS, MAX_UNRESPONSIVE_SECONDS
         )
 
--- a/postspring/histories/reading.py
+++ b/postspring/histories/reading.py
@@ -4,11 +4,11 @@
 
 from postspring.histories import accounts
 from postspring.histories import chains
-from postspring.histories import copies
-from postspring.histories import openings
 from postspring.histories import partitions
 from postspring.histories import program as program_module
 from postspring.histories import records
+from postspring.histories import replicas
+from postspring.histories import turn_opener
 
 __all__ = ["JournalReader"]
 
@@ -22,8 +22,8 @@
 
     accounts: accounts.LocalAccounts
     _partitions: partitions.Partitions
-    _held_by_ref: dict[records.TurnRef, records.WholeTurn]
-    _ended_replicas: copies.EndedTurnReplicas
+    _held_by_ref: dict[records.TurnRef, records.CompletedTurn]
+    _ended_replicas: replicas.EndedTurnReplicas
 
     def charged(self, program: records.ProgramId) -> int:
         """Return the tokens that the folded records charge a program with."""
@@ -40,26 +40,26 @@
         }
 
     @property
-    def knows_homes(self) -> bool:
+    def may_have_offline_charges(self) -> bool:
         """Whether any offline turn may not be charged yet."""
         return (
             self.accounts.has_offline_accounts or len(self._ended_replicas) > 0
         )
 
-    def home_left(self, program: records.ProgramId) -> int:
+    def offline_tokens_left(self, program: records.ProgramId) -> int:
         """Return the tokens that a program may still spend here offline."""
         place = partitions.place_of_program(program)
         if not self._partitions.is_unresponsive(place):
             return 0
         spent = self.accounts.unsettled_offline(program).values()
-        return max(0, self.accounts.home_tokens(program) - sum(spent))
+        return max(0, self.accounts.offline_tokens(program) - sum(spent))
 
-    def fits_beside(
+    def fits_with_offline_use(
         self,
         program: records.ProgramId,
         budget: int | None,
         unsettled: dict[records.TurnId, int],
-        home_left: int,
+        offline_tokens_left: int,
     ) -> bool:
         """Return whether a program's charge and offline use fit its budget.
 
@@ -67,7 +67,7 @@
         ----------
         unsettled : dict
             Tokens of turns that the log may lack.
-        home_left : int
+        offline_tokens_left : int
             Tokens that offline accounts may still spend.
         """
         if budget is None:
@@ -78,7 +78,7 @@
             for turn, tokens in unsettled.items()
             if known.state_after_run(turn) is None
         )
-        return self.charged(program) + lacking + home_left <= budget
+        return self.charged(program) + lacking + offline_tokens_left <= budget
 
     def find_chain(
         self,
@@ -86,20 +86,20 @@
         turn: records.TurnId,
         timeout: float,
         on_done: Callable[[chains.Chain | None], None],
-        on_error: openings.OnError,
+        on_error: turn_opener.OnError,
     ) -> None:
         """Find the chain that ends with a turn; None if there is none.
 
         The records of ``program`` are searched first.
         """
         search = chains.ChainSearch(self, timeout, on_done, on_error)
-        search.start(self.ref_of(program, turn))
+        search.start(self.resolve_ref(program, turn))
 
     def known_chain(self, ref: records.TurnRef) -> chains.Chain | None:
         """Return a chain if this VM has all of it in memory."""
         return chains.collect_chain(self.known_turn, ref)[0]
 
-    def ref_of(
+    def resolve_ref(
         self, program: records.ProgramId, turn: records.TurnId
     ) -> records.TurnRef:
         """Return where to look for a turn that ``program`` may continue.
@@ -116,7 +116,7 @@
 
     def known_turn(self, ref: records.TurnRef) -> program_module.Turn | None:
         """Return a completed turn if this VM has it in memory."""
-        turn = self._partitions.whole_turn(ref)
+        turn = self._partitions.completed_turn(ref)
         held = self._held_by_ref.get(ref)
         if turn is None and held is not None:
             turn = program_module.Turn.from_record(held)
@@ -124,7 +124,7 @@
 
     def is_logged(self, ref: records.TurnRef) -> bool:
         """Return whether a completed turn is known to be in the log."""
-        return self._partitions.whole_turn(ref) is not None
+        return self._partitions.completed_turn(ref) is not None
 
     def knows(self, program: records.ProgramId) -> bool:
         """Return whether this VM has any turn or account of a program."""
@@ -147,7 +147,7 @@
             return True
         return self.known_turn(records.TurnRef(program, previous)) is not None
 
-    def can_take(
+    def can_run(
         self,
         program: records.ProgramId,
         previous: records.TurnId | None,
@@ -155,7 +155,7 @@
     ) -> bool:
         """Return whether this VM could run a turn without the log."""
         if previous is not None:
-            if self.known_chain(self.ref_of(program, previous)) is None:
+            if self.known_chain(self.resolve_ref(program, previous)) is None:
                 return False
         is_unresponsive = self._partitions.is_unresponsive(
             partitions.place_of_program(program)
@@ -168,7 +168,7 @@
         program: records.ProgramId,
         timeout: float,
         on_done: Callable[[], None],
-        on_error: openings.OnError,
+        on_error: turn_opener.OnError,
         keeps_timeout: bool = False,
     ) -> None:
         """Fold all records of a program's partition.
@@ -191,7 +191,7 @@
         turn: records.TurnId,
         timeout: float,
         on_done: Callable[[records.ProgramId | None], None],
-        on_error: openings.OnError,
+        on_error: turn_opener.OnError,
     ) -> None:
         """Find the program among whose records a turn is stored."""
         partition = self._partitions.get(partitions.place_of_location(turn))
@@ -205,9 +205,9 @@
             on_error,
         )
 
-    def place_of(self, program: records.ProgramId, line: str) -> str:
+    def last_upstream_of(self, program: records.ProgramId, line: str) -> str:
         """Return the upstream with a conversation's prompt, or empty."""
-        return self._partitions.program(program).place_of(line)
+        return self._partitions.program(program).last_upstream_of(line)
 
     # -- own ------------------------------------------------------------------
 
--- a/postspring/histories/recording.py
+++ b/postspring/histories/recording.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from postspring.histories import completion
+from postspring.histories import durability
 from postspring.histories import errors
 from postspring.histories import fold as fold_module
 from postspring.histories import partitions as partitions_module
@@ -30,7 +30,7 @@
 
 def append_record(
     partitions: partitions_module.Partitions,
-    record: records.OpenedTurn | records.WholeTurn | records.EndedTurn,
+    record: records.OpenedTurn | records.CompletedTurn | records.EndedTurn,
     timeout: float,
     on_done: Callable[[fold_module.ProgramFold], None],
     on_error: Callable[[errors.HistoryError], None],
@@ -46,7 +46,7 @@
 
 def append_location(
     partitions: partitions_module.Partitions,
-    record: records.WholeTurn,
+    record: records.CompletedTurn,
     on_done: Callable[[], None],
     on_error: Callable[[errors.HistoryError], None],
     caller_wait: float = 0.0,
@@ -62,7 +62,7 @@
 
 def append_completed(
     partitions: partitions_module.Partitions,
-    record: records.WholeTurn,
+    record: records.CompletedTurn,
     on_folded: Callable[[fold_module.ProgramFold], None],
     on_done: Callable[[], None],
     on_error: Callable[[errors.HistoryError], None],
@@ -79,7 +79,7 @@
     caller_wait : float
         Seconds for which a caller waits for that.
     """
-    both = completion.PairLatch(on_done)
+    both = durability.PairLatch(on_done)
 
     def folded(fold: fold_module.ProgramFold) -> None:
         on_folded(fold)
@@ -92,7 +92,7 @@
 
 
 def expedite_retry(
-    partitions: partitions_module.Partitions, record: records.WholeTurn
+    partitions: partitions_module.Partitions, record: records.CompletedTurn
 ) -> None:
     """Retry a turn's pending appends now, if the log answers again."""
     for place in _places_of(record):
@@ -100,7 +100,7 @@
 
 
 def is_unavailable(
-    partitions: partitions_module.Partitions, record: records.WholeTurn
+    partitions: partitions_module.Partitions, record: records.CompletedTurn
 ) -> bool:
     """Return whether a turn can't be recorded now, as far as known."""
     return any(
@@ -109,7 +109,7 @@
 
 
 def is_late(
-    partitions: partitions_module.Partitions, record: records.WholeTurn
+    partitions: partitions_module.Partitions, record: records.CompletedTurn
 ) -> bool:
     """Return whether recording a turn fails, or takes unusually long."""
     return any(
@@ -117,7 +117,7 @@
     )
 
 
-def _places_of(record: records.WholeTurn) -> tuple[keyedlog.LogPlace, ...]:
+def _places_of(record: records.CompletedTurn) -> tuple[keyedlog.LogPlace, ...]:
     """Return the partitions of a completed turn and of its location."""
     return (
         partitions_module.place_of_program(record.program),
--- a/postspring/histories/records.py
+++ b/postspring/histories/records.py
@@ -20,6 +20,7 @@
 
 __all__ = [
     "Claim",
+    "CompletedTurn",
     "EndedTurn",
     "OpenedTurn",
     "ProgramId",
@@ -27,7 +28,6 @@
     "TurnId",
     "TurnLocation",
     "TurnRef",
-    "WholeTurn",
     "decode_record",
     "encode_record",
     "fits_key",
@@ -112,7 +112,7 @@
 
 @_register("whole")
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeTurn:
+class CompletedTurn:
     """A turn completed and is part of the history.
 
     Parameters
@@ -171,7 +171,7 @@
     program: ProgramId
 
 
-Record = OpenedTurn | WholeTurn | EndedTurn | TurnLocation
+Record = OpenedTurn | CompletedTurn | EndedTurn | TurnLocation
 
 
 def encode_record(record: Record) -> bytes:
--- a/postspring/histories/copies.py
+++ b/postspring/histories/replicas.py
@@ -40,10 +40,10 @@
     def is_logged(self, ref: records.TurnRef) -> bool:
         """Return whether a completed turn is known to be in the log."""
 
-    def append_replica(self, record: records.WholeTurn) -> None:
+    def append_replica(self, record: records.CompletedTurn) -> None:
         """Append a replica that the log lacks."""
 
-    def append_replica_location(self, record: records.WholeTurn) -> None:
+    def append_replica_location(self, record: records.CompletedTurn) -> None:
         """Append the location of a replica whose record is in the log."""
 
     def drop_replica(self, ref: records.TurnRef) -> None:
@@ -59,7 +59,7 @@
     Parameters
     ==========
 
-    record : WholeTurn
+    record : CompletedTurn
         The replica.
     on_lost : callable
         Called with the error if the log was unavailable for too long.
@@ -69,7 +69,7 @@
         self,
         journal: ReplicaStore,
         timers: timers_module.Timers,
-        record: records.WholeTurn,
+        record: records.CompletedTurn,
         on_lost: Callable[[errors.HistoryError], None],
     ):
         self._journal = journal
--- a/postspring/histories/sizes.py
+++ b/postspring/histories/size_limits.py
@@ -6,7 +6,7 @@
 
 from postspring import keyedlog
 
-__all__ = ["Sizes", "first_batch_length"]
+__all__ = ["SizeLimits", "first_batch_length"]
 
 # Bytes that an entry takes besides its key and value.
 ENTRY_OVERHEAD_BYTES = 5
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sizes:
+class SizeLimits:
     """Size limits of the log, in bytes.
 
     Parameters
--- a/postspring/histories/tests/test_accounts.py
+++ b/postspring/histories/tests/test_accounts.py
@@ -4,7 +4,7 @@
 
 from postspring import histories
 
-HOME = histories.Origin.HOME
+OFFLINE = histories.Origin.OFFLINE
 RESERVE = histories.Origin.RESERVE
 
 
@@ -18,10 +18,10 @@
         self.program.end(histories.EndedTurn("p", "r", claim, 0))
         self.accounts.note_granted("p", 30, reserve_fits=True)
 
-    def admit(self, turn, ceiling=10, budget=100, is_log_away=False):
+    def admit(self, turn, ceiling=10, budget=100, is_log_unavailable=False):
         """Request the right to run a turn."""
         return self.accounts.admit(
-            self.program, turn, ceiling, budget, is_log_away
+            self.program, turn, ceiling, budget, is_log_unavailable
         )
 
 
@@ -89,35 +89,35 @@
     def test_it_is_used_only_while_the_log_is_unavailable(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
         self.assertIsNone(self.admit("a"))
-        self.assertIs(HOME, self.admit("a", is_log_away=True).origin)
+        self.assertIs(OFFLINE, self.admit("a", is_log_unavailable=True).origin)
 
     def test_tokens_charged_in_the_log_are_subtracted(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
         self.program.charged = 95
-        self.assertIsNone(self.admit("a", is_log_away=True))
+        self.assertIsNone(self.admit("a", is_log_unavailable=True))
 
     def test_an_uncertain_account_limits_a_turn(self):
         self.accounts.open_offline_account("p", 10, is_certain=False)
-        ticket = self.admit("a", is_log_away=True)
+        ticket = self.admit("a", is_log_unavailable=True)
         self.accounts.note_spent(ticket, 4)
-        self.assertEqual(6, self.admit("b", is_log_away=True).limit)
+        self.assertEqual(6, self.admit("b", is_log_unavailable=True).limit)
 
     def test_it_starts_no_turn_with_little_left(self):
         self.accounts.open_offline_account("p", 10, is_certain=False)
-        self.accounts.note_spent(self.admit("a", is_log_away=True), 6)
-        self.assertIsNone(self.admit("b", is_log_away=True))
+        self.accounts.note_spent(self.admit("a", is_log_unavailable=True), 6)
+        self.assertIsNone(self.admit("b", is_log_unavailable=True))
 
     def test_its_tokens_include_unsettled_turns(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
-        ticket = self.admit("a", is_log_away=True)
+        ticket = self.admit("a", is_log_unavailable=True)
         self.accounts.note_spent(ticket, 4)
-        self.assertEqual(100, self.accounts.home_tokens("p"))
+        self.assertEqual(100, self.accounts.offline_tokens("p"))
         self.accounts.note_settled(ticket, 4)
-        self.assertEqual(96, self.accounts.home_tokens("p"))
+        self.assertEqual(96, self.accounts.offline_tokens("p"))
 
     def test_it_is_closed_when_all_its_turns_are_settled(self):
         self.accounts.open_offline_account("p", 100, is_certain=True)
-        ticket = self.admit("a", is_log_away=True)
+        ticket = self.admit("a", is_log_unavailable=True)
         self.accounts.close_offline_account("p")
         self.assertTrue(self.accounts.has_offline_account("p"))
         self.accounts.note_settled(ticket, 4)
@@ -155,7 +155,7 @@
         """Fold the record of a completed turn."""
         claim = histories.Claim(author, 10, 330, 0, from_reserve)
         self.program.complete(
-            histories.WholeTurn("p", turn, claim, None, tokens, b"", b"")
+            histories.CompletedTurn("p", turn, claim, None, tokens, b"", b"")
         )
 
     def test_at_most_an_eighth_of_the_rest(self):
--- a/postspring/histories/tests/test_budget_races.py
+++ b/postspring/histories/tests/test_budget_races.py
@@ -114,7 +114,7 @@
     """
 
     def setUp(self):
-        for name, value in (("RESERVED_PART", 1), ("KEPT_FREE_TURNS", 0)):
+        for name, value in (("RESERVE_DIVISOR", 1), ("KEPT_FREE_TURNS", 0)):
             patch = mock.patch.object(histories.program, name, value)
             patch.start()
             self.addCleanup(patch.stop)
@@ -164,7 +164,7 @@
         self.one.open("a", budget=1000)
         self.one.complete("a")
         self.assertIs(
-            histories.TurnState.WHOLE, self.one.open("a", budget=1000)
+            histories.TurnState.COMPLETED, self.one.open("a", budget=1000)
         )
 
 
--- a/postspring/histories/tests/test_claims.py
+++ b/postspring/histories/tests/test_claims.py
@@ -31,7 +31,7 @@
         self.program.open(record)
         return self.claims.note_opened(self.fold, record, self.ticket)
 
-    def can_take(self, tokens):
+    def can_run(self, tokens):
         """Return whether this VM's reserve has so many tokens."""
         return self.accounts.can_admit(self.program, tokens, False)
 
@@ -49,12 +49,12 @@
     def test_a_reserve_that_fits_may_be_used(self):
         state, ticket = self.open()
         self.assertEqual((OPEN, 40), (state, ticket.granted))
-        self.assertTrue(self.can_take(40))
-        self.assertFalse(self.can_take(41))
+        self.assertTrue(self.can_run(40))
+        self.assertFalse(self.can_run(41))
 
     def test_a_reserve_in_flight_may_not_be_used(self):
         self.claims.opening_record(self.program, self.ticket)
-        self.assertFalse(self.can_take(1))
+        self.assertFalse(self.can_run(1))
 
     def test_two_records_in_flight_reserve_no_more_than_one(self):
         self.claims.opening_record(self.program, self.ticket)
@@ -67,7 +67,7 @@
         self.program.open(record)
         state, ticket = self.claims.note_opened(self.fold, record, self.ticket)
         self.assertEqual((OPEN, 0), (state, ticket.granted))
-        self.assertFalse(self.can_take(1))
+        self.assertFalse(self.can_run(1))
         self.settle(ticket)
         self.assertNotIn("vm", self.program.reserve_by_author)
 
@@ -80,7 +80,7 @@
         self.program.end(histories.EndedTurn("p", "r", claim, 0))
         claim = self.settle(ticket, between=300)
         self.assertEqual(40, claim.granted)
-        self.assertFalse(self.can_take(1))
+        self.assertFalse(self.can_run(1))
         record = self.claims.opening_record(self.program, self.ticket)
         self.assertEqual(40, record.claim.returned)
 
@@ -95,7 +95,7 @@
         self.assertEqual(
             (10, 0), (self.program.charged, self.program.reserved)
         )
-        self.assertFalse(self.can_take(1))
+        self.assertFalse(self.can_run(1))
 
     def test_a_turn_from_the_reserve_reduces_it(self):
         self.open()
@@ -103,8 +103,8 @@
         claim = self.settle(ticket)
         self.assertTrue(claim.from_reserve)
         self.assertEqual(4, claim.granted)
-        self.assertTrue(self.can_take(40))
-        self.assertFalse(self.can_take(41))
+        self.assertTrue(self.can_run(40))
+        self.assertFalse(self.can_run(41))
 
     def test_no_budget_needs_no_reserve(self):
         ticket = self.accounts.admit(self.program, "b", 10, None, False)
--- a/postspring/histories/tests/test_compaction.py
+++ b/postspring/histories/tests/test_compaction.py
@@ -144,7 +144,9 @@
     def assert_agree(self, full, newest):
         """Check that turns, charge and reserves are the same."""
         for turn in full.turn_by_id:
-            self.assertEqual(full.whole_turn(turn), newest.whole_turn(turn))
+            self.assertEqual(
+                full.completed_turn(turn), newest.completed_turn(turn)
+            )
         self.assertEqual(full.charged, newest.charged)
         self.assertEqual(full.reserve_by_author, newest.reserve_by_author)
 
--- a/postspring/histories/tests/test_end_copies.py
+++ b/postspring/histories/tests/test_ended_turn_replicas.py
@@ -15,9 +15,9 @@
     def __init__(self, journal):
         self.journal = journal
 
-    def keep(self, record, on_done, is_log_away=False):
+    def replicate(self, record, on_done, is_log_unavailable=False):
         """Have the other VM hold the replica."""
-        self.journal.keep_copy(record)
+        self.journal.store_replica(record)
         on_done(1)
 
 
@@ -30,7 +30,9 @@
         for vm in (self.one, self.two):
             vm.log.faults.down = True
         self.one.open("x")
-        self.one.journal.accounts.begin_home("p", 10, 25, 0, 0, True)
+        self.one.journal.accounts.start_offline_account(
+            "p", 10, 25, 0, 0, True
+        )
 
     def spend_and_die(self):
         """Let two turns use 20 of 25 tokens before the VM dies."""
@@ -71,4 +73,4 @@
         claim = histories.Claim("one", 8, 25)
         record = histories.OpenedTurn("p", "t", claim)
         with self.assertRaises(histories.MalformedRecord):
-            self.two.journal.keep_copy(records.encode_record(record))
+            self.two.journal.store_replica(records.encode_record(record))
--- a/postspring/histories/tests/test_journal.py
+++ b/postspring/histories/tests/test_journal.py
@@ -221,14 +221,14 @@
         claim = histories.Claim("one", 10, 25)
         ref = parent and histories.TurnRef("p", parent)
         return histories.encode_record(
-            histories.WholeTurn(
+            histories.CompletedTurn(
                 "p", turn, claim, ref, 4, b"<" + turn.encode(), b">"
             )
         )
 
     def test_a_replica_is_known_at_once_and_recorded_later(self):
         self.two.log.faults.down = True
-        self.two.journal.keep_copy(self.replica_of("a"))
+        self.two.journal.store_replica(self.replica_of("a"))
         self.assertEqual(b"<a>", self.two.chain("a"))
         self.assertEqual(1, self.two.journal.held)
         self.two.log.faults.down = False
@@ -237,7 +237,7 @@
 
     def test_a_replica_outlives_a_long_outage(self):
         self.two.log.faults.down = True
-        self.two.journal.keep_copy(self.replica_of("a"))
+        self.two.journal.store_replica(self.replica_of("a"))
         self.clock.run_for(30.0)
         self.assertEqual(1, self.two.journal.held)
         self.two.log.faults.down = False
@@ -249,7 +249,7 @@
         # turn, and the store's load stayed above its rate.
         record = self.replica_of("a")
         for vm in (self.one, self.two):
-            vm.journal.keep_copy(record)
+            vm.journal.store_replica(record)
             self.clock.run_until(lambda vm=vm: not vm.journal.held, 10)
         places = self.data.records_by_place
         self.assertEqual(2, sum(len(found) for found in places.values()))
@@ -257,20 +257,20 @@
     def test_a_replica_without_its_parent_is_not_reported_missing(self):
         # The turn was known here, but its parent was still held elsewhere
         # only; the answer was 404.
-        self.two.journal.keep_copy(self.replica_of("b", parent="a"))
+        self.two.journal.store_replica(self.replica_of("b", parent="a"))
         error = self.two.chain("b", timeout=0.5)
         self.assertIsInstance(error, histories.JournalUnavailable)
 
     def test_two_replicas_are_recorded_once(self):
-        self.one.journal.keep_copy(self.replica_of("a"))
-        self.two.journal.keep_copy(self.replica_of("a"))
+        self.one.journal.store_replica(self.replica_of("a"))
+        self.two.journal.store_replica(self.replica_of("a"))
         self.clock.run_for(1)
         self.assertIs(OPEN, self.one.open("b", ceiling=21))
 
     def test_a_record_of_another_kind_is_rejected(self):
         location = histories.TurnLocation("a", "p")
         with self.assertRaises(histories.MalformedRecord):
-            self.one.journal.keep_copy(histories.encode_record(location))
+            self.one.journal.store_replica(histories.encode_record(location))
 
 
 class SharedPartitionTest(JournalCase):
--- a/postspring/histories/tests/test_location.py
+++ b/postspring/histories/tests/test_location.py
@@ -17,7 +17,7 @@
 def completed():
     """Return the record of the completed turn."""
     claim = histories.Claim("one", 10, 25)
-    return histories.WholeTurn("q", "a", claim, None, 4, b"<a>", b">")
+    return histories.CompletedTurn("q", "a", claim, None, 4, b"<a>", b">")
 
 
 class UnrecordedLocationTest(test_journal.JournalCase):
@@ -37,7 +37,7 @@
     def test_its_author_holds_it_until_its_location_is_recorded(self):
         self.assertTrue(self.one.journal.is_logged(TURN))
         self.assertIsNone(self.two.chain("a", program="p"))
-        self.assertEqual(TURN, self.one.journal.ref_of("p", "a"))
+        self.assertEqual(TURN, self.one.journal.resolve_ref("p", "a"))
         self.assertEqual(1, self.one.journal.held)
         self.throttled.clear()
         self.clock.run_for(2.0)
@@ -47,8 +47,8 @@
     def test_a_vm_that_has_read_the_record_holds_a_replica(self):
         """The author is killed before it has recorded the location."""
         self.two.chain("a", program="q")
-        self.two.journal.keep_copy(histories.encode_record(completed()))
-        self.assertEqual(TURN, self.two.journal.ref_of("p", "a"))
+        self.two.journal.store_replica(histories.encode_record(completed()))
+        self.assertEqual(TURN, self.two.journal.resolve_ref("p", "a"))
         self.clock.run_for(10.0)
         three = self.vm("three")
         self.assertEqual(b"<a>>", three.chain("a", program="p"))
@@ -56,7 +56,7 @@
     def test_such_a_replica_costs_one_append(self):
         """Its record is in the log: only the location is missing."""
         self.two.chain("a", program="q")
-        self.two.journal.keep_copy(histories.encode_record(completed()))
+        self.two.journal.store_replica(histories.encode_record(completed()))
         self.clock.run_for(10.0)
         self.assertEqual(1, self.two.log.calls.count("append"))
         self.assertEqual(0, self.two.journal.held)
@@ -65,5 +65,5 @@
         self.throttled.clear()
         self.clock.run_for(2.0)
         self.two.chain("a", program="p")
-        self.two.journal.keep_copy(histories.encode_record(completed()))
+        self.two.journal.store_replica(histories.encode_record(completed()))
         self.assertEqual(0, self.two.journal.held)
--- a/postspring/histories/tests/test_partial_outage.py
+++ b/postspring/histories/tests/test_partial_outage.py
@@ -20,12 +20,12 @@
         super().setUp()
         self.log = self.two.log
 
-    def hold_replica(self, turn, is_log_away=True):
+    def hold_replica(self, turn, is_log_unavailable=True):
         """Give the VM a replica."""
         claim = histories.Claim("gone", 10, 25)
-        record = histories.WholeTurn("p", turn, claim, None, 4, b"<", b">")
+        record = histories.CompletedTurn("p", turn, claim, None, 4, b"<", b">")
         data = histories.encode_record(record)
-        self.two.journal.keep_copy(data, is_log_away)
+        self.two.journal.store_replica(data, is_log_unavailable)
 
     def test_a_vm_with_the_log_records_a_replica_at_once(self):
         self.hold_replica("a")
@@ -59,6 +59,6 @@
     def test_a_log_that_the_author_reaches_is_not_read_at_once(self):
         """The log is slow for the author, as this VM may not know yet."""
         before = len(self.log.calls)
-        self.hold_replica("a", is_log_away=False)
+        self.hold_replica("a", is_log_unavailable=False)
         self.clock.run_for(1.5)
         self.assertEqual(before, len(self.log.calls))
--- a/postspring/histories/tests/test_program.py
+++ b/postspring/histories/tests/test_program.py
@@ -16,7 +16,9 @@
 
 def completed(turn, parent=None, tokens=4):
     """Return a record of a completed turn."""
-    return histories.WholeTurn("p", turn, CLAIM, parent, tokens, b"i", b"o")
+    return histories.CompletedTurn(
+        "p", turn, CLAIM, parent, tokens, b"i", b"o"
+    )
 
 
 def ended(turn, tokens):
@@ -111,7 +113,7 @@
         self.program.open(opened("a"))
         claim = histories.Claim("other", 10, 25)
         state = self.program.open(histories.OpenedTurn("p", "a", claim))
-        self.assertIs(histories.TurnState.TAKEN, state)
+        self.assertIs(histories.TurnState.ID_IN_USE, state)
 
     def test_a_withdrawn_turn_may_run_offline_afterwards(self):
         self.program.end(self.withdrawn("a"))
@@ -158,16 +160,16 @@
 
     def test_an_open_turn_is_not_part_of_the_history(self):
         self.program.open(opened("a"))
-        self.assertIsNone(self.program.whole_turn("a"))
+        self.assertIsNone(self.program.completed_turn("a"))
 
     def test_a_completed_turn_is_part_of_the_history(self):
         self.program.complete(completed("a"))
-        self.assertEqual(b"o", self.program.whole_turn("a").output)
+        self.assertEqual(b"o", self.program.completed_turn("a").output)
 
     def test_a_completed_turn_is_not_ended_afterwards(self):
         self.program.complete(completed("a"))
         self.program.end(ended("a", 0))
-        self.assertIsNotNone(self.program.whole_turn("a"))
+        self.assertIsNotNone(self.program.completed_turn("a"))
 
 
 class RecordTest(unittest.TestCase):
--- a/postspring/histories/tests/test_awaited.py
+++ b/postspring/histories/tests/test_retry_queue.py
@@ -43,7 +43,7 @@
         self.faults.down = True
         for number in range(PROGRAMS):
             ticket = histories.Ticket(
-                f"p{number}", f"t{number}", 10, 25, histories.Origin.HOME
+                f"p{number}", f"t{number}", 10, 25, histories.Origin.OFFLINE
             )
             self.vm.journal.end_turn(ticket, 4)
         self.clock.run_for(12.0)
@@ -81,7 +81,7 @@
             LAST_PROGRAM, 100, is_certain=True
         )
         self.assertIs(histories.TurnState.OPEN, self.open("u"))
-        self.assertIs(histories.Origin.HOME, self.vm.tickets["u"].origin)
+        self.assertIs(histories.Origin.OFFLINE, self.vm.tickets["u"].origin)
         self.vm.end("u", 0)
         self.restore_log()
         self.assertIs(histories.TurnState.OPEN, self.open("v"))
@@ -117,7 +117,7 @@
         before = len(self.vm.log.calls)
         for number in range(PROGRAMS):
             ticket = histories.Ticket(
-                f"p{number}", f"v{number}", 10, 25, histories.Origin.HOME
+                f"p{number}", f"v{number}", 10, 25, histories.Origin.OFFLINE
             )
             self.vm.journal.end_turn(ticket, 4)
         queued = [f"p{number}" for number in range(PROGRAMS)]
@@ -193,7 +193,7 @@
             LAST_PROGRAM, 100, is_certain=True
         )
         self.assertIs(histories.TurnState.OPEN, self.open("v"))
-        self.assertIs(histories.Origin.HOME, self.vm.tickets["v"].origin)
+        self.assertIs(histories.Origin.OFFLINE, self.vm.tickets["v"].origin)
 
     def test_callers_do_not_expedite_a_partition_that_fails_alone(self):
         place = histories.partitions.place_of_program(LAST_PROGRAM)
--- a/postspring/histories/tests/test_slow_log.py
+++ b/postspring/histories/tests/test_slow_log.py
@@ -23,7 +23,7 @@
     def __init__(self):
         self.replica_count = 0
 
-    def keep(self, record, on_done, is_log_away=False):
+    def replicate(self, record, on_done, is_log_unavailable=False):
         """Count the replica."""
         self.replica_count += 1
         on_done(2)
--- a/postspring/histories/tests/test_whole_turns.py
+++ b/postspring/histories/tests/test_turn_recorder.py
@@ -18,7 +18,7 @@
         self.can_record = True
         self.batch_sizes = []
 
-    def keep(self, record, on_done, is_log_away=False):
+    def replicate(self, record, on_done, is_log_unavailable=False):
         """Report two replicas."""
         on_done(2)
 
@@ -26,7 +26,7 @@
         """Have the journal record the turns, if it can."""
         self.batch_sizes.append(len(turns))
         if self.can_record:
-            self.journal.record_for_another(turns, lambda: on_done(True))
+            self.journal.record_for_peer(turns, lambda: on_done(True))
         else:
             on_done(False)
 
@@ -36,7 +36,7 @@
     claim = histories.Claim("other", 10, 1000)
     ref = parent and histories.TurnRef("p", parent)
     data = b"<" + turn.encode()
-    return histories.WholeTurn("p", turn, claim, ref, 4, data, b">")
+    return histories.CompletedTurn("p", turn, claim, ref, 4, data, b">")
 
 
 class UnrecordedAncestorsTest(test_journal.JournalCase):
@@ -50,7 +50,7 @@
     def hold_replica(self, turn, parent=None):
         """Have the first VM hold a replica."""
         data = histories.encode_record(replica_of(turn, parent))
-        self.one.journal.keep_copy(data)
+        self.one.journal.store_replica(data)
 
     def test_the_chain_is_recorded_when_the_turn_ends(self):
         self.assertEqual("logged", self.one.complete("c", parent=("p", "b")))
@@ -128,6 +128,6 @@
     def test_a_record_of_another_kind_is_rejected(self):
         location = histories.TurnLocation("t", "p")
         with self.assertRaises(histories.MalformedRecord):
-            self.two.journal.record_for_another(
+            self.two.journal.record_for_peer(
                 [histories.encode_record(location)], lambda: None
             )
--- a/postspring/histories/openings.py
+++ b/postspring/histories/turn_opener.py
@@ -4,16 +4,16 @@
 
 from postspring.histories import accounts
 from postspring.histories import claims as claims_module
+from postspring.histories import contributions
 from postspring.histories import errors
 from postspring.histories import fold as fold_module
 from postspring.histories import program as program_module
 from postspring.histories import records
-from postspring.histories import shares
 
 __all__ = ["OnError", "OnOpened", "TurnOpener"]
 
 OnError = Callable[[errors.HistoryError], None]
-OnOpened = Callable[[shares.TurnState, accounts.Ticket], None]
+OnOpened = Callable[[contributions.TurnState, accounts.Ticket], None]
 
 
 class TurnOpener:
@@ -51,10 +51,10 @@
 
     def conflicting_state(
         self, known: program_module.Program, ref: records.TurnRef
-    ) -> shares.TurnState | None:
+    ) -> contributions.TurnState | None:
         """Return the state that keeps a turn's id from being used, if any."""
         if ref in self._running:
-            return shares.TurnState.TAKEN
+            return contributions.TurnState.ID_IN_USE
         return known.state_after_run(ref.turn)
 
     def open(
@@ -74,7 +74,7 @@
             state, decided = self._claim_writer.note_opened(
                 fold, record, ticket
             )
-            if state is not shares.TurnState.OPEN:
+            if state is not contributions.TurnState.OPEN:
                 # Other VMs charge it until this VM, the only one that decides,
                 # has withdrawn it.
                 self.note_stopped(ref)
--- a/postspring/histories/whole_turns.py
+++ b/postspring/histories/turn_recorder.py
@@ -10,13 +10,13 @@
 import logging
 
 from postspring.histories import fold as fold_module
-from postspring.histories import held as held_module
-from postspring.histories import openings
+from postspring.histories import held_turns as held_module
 from postspring.histories import partitions as partitions_module
 from postspring.histories import ports
 from postspring.histories import program as program_module
 from postspring.histories import recording
 from postspring.histories import records
+from postspring.histories import turn_opener
 
 __all__ = ["TurnRecorder"]
 
@@ -44,7 +44,9 @@
         partitions: partitions_module.Partitions,
         held: held_module.HeldTurns,
         known_turn: KnownTurn,
-        make_loss_reporter: Callable[[records.WholeTurn], openings.OnError],
+        make_loss_reporter: Callable[
+            [records.CompletedTurn], turn_opener.OnError
+        ],
     ):
         self._partitions = partitions
         self._held = held
@@ -53,7 +55,7 @@
 
     def record_with_chain(
         self,
-        turn: records.WholeTurn,
+        turn: records.CompletedTurn,
         on_folded: Callable[[fold_module.ProgramFold], None],
         on_recorded: Callable[[], None],
     ) -> None:
@@ -75,7 +77,7 @@
 
     def record_elsewhere(
         self,
-        turn: records.WholeTurn,
+        turn: records.CompletedTurn,
         holders: ports.ReplicaHolders,
         timeout: float,
         on_done: Callable[[bool], None],
@@ -94,8 +96,8 @@
             [records.encode_record(item) for item in turns], timeout, on_answer
         )
 
-    def record_for_another(
-        self, turns: list[records.WholeTurn], on_done: Callable[[], None]
+    def record_for_peer(
+        self, turns: list[records.CompletedTurn], on_done: Callable[[], None]
     ) -> None:
         """Append turns of a VM without the log; report when all are there."""
         unrecorded = [turn for turn in turns if not self._is_recorded(turn)]
@@ -105,7 +107,7 @@
         self._held.call_when_recorded(map(_ref_of, unrecorded), on_done)
 
     def append_replica(
-        self, turn: records.WholeTurn, caller_wait: float
+        self, turn: records.CompletedTurn, caller_wait: float
     ) -> None:
         """Append a replica, unless it was submitted to the log before."""
         if not self._held.mark_submitted(_ref_of(turn)):
@@ -120,7 +122,7 @@
 
     def _record(
         self,
-        turn: records.WholeTurn,
+        turn: records.CompletedTurn,
         on_folded: Callable[[fold_module.ProgramFold], None],
         on_recorded: Callable[[], None],
         caller_wait: float,
@@ -143,17 +145,17 @@
             caller_wait,
         )
 
-    def _append_now(self, turns: Iterable[records.WholeTurn]) -> None:
+    def _append_now(self, turns: Iterable[records.CompletedTurn]) -> None:
         """Append turns, and retry now what is pending in their partitions."""
         for turn in turns:
             self.append_replica(turn, recording.CALLER_WAIT_SECONDS)
             recording.expedite_retry(self._partitions, turn)
 
     def _unrecorded_ancestors(
-        self, turn: records.WholeTurn
-    ) -> list[records.WholeTurn]:
+        self, turn: records.CompletedTurn
+    ) -> list[records.CompletedTurn]:
         """Return the ancestors that the log may lack, oldest first."""
-        ancestors: list[records.WholeTurn] = []
+        ancestors: list[records.CompletedTurn] = []
         ref = turn.parent
         while ref is not None and self._held:
             if self._held.is_unrecorded(ref):
@@ -163,15 +165,15 @@
         ancestors.reverse()
         return ancestors
 
-    def _is_recorded(self, turn: records.WholeTurn) -> bool:
+    def _is_recorded(self, turn: records.CompletedTurn) -> bool:
         ref = _ref_of(turn)
         return ref not in self._held and self._partitions.is_recorded(ref)
 
 
-def _ref_of(turn: records.WholeTurn) -> records.TurnRef:
+def _ref_of(turn: records.CompletedTurn) -> records.TurnRef:
     return records.TurnRef(turn.program, turn.turn)
 
 
-def _log_fields(turn: records.WholeTurn) -> dict[str, str]:
+def _log_fields(turn: records.CompletedTurn) -> dict[str, str]:
     """Return a turn's ids as fields of a log line."""
     return {"program": turn.program, "request": turn.turn}
--- a/postspring/keyedlog/usual_time.py
+++ b/postspring/keyedlog/average_duration.py
@@ -1,12 +1,12 @@
 """Moving average of durations, with a threshold for late ones."""
 
-__all__ = ["UsualTime"]
+__all__ = ["AverageDuration"]
 
 # An operation that takes longer than this multiple of the average is late.
 LATE_FACTOR = 2.5
 
 
-class UsualTime:
+class AverageDuration:
     """Exponential moving average; each new duration has a weight of half.
 
     Attributes
@@ -18,11 +18,15 @@
     Examples
     ========
 
-    >>> average = UsualTime()
-    >>> average.late_after(0.3)
+    >>> average = AverageDuration()
+    >>> average.late_threshold(0.3)
     0.3
     >>> average.note(0.4)
-    >>> average.seconds, average.late_after(0.3), average.late_after(0.3, 0.4)
+    >>> (
+    ...     average.seconds,
+    ...     average.late_threshold(0.3),
+    ...     average.late_threshold(0.3, 0.4),
+    ... )
     (0.2, 0.5, 0.4)
     """
 
@@ -33,7 +37,7 @@
         """Add a duration."""
         self.seconds += (seconds - self.seconds) / 2
 
-    def late_after(
+    def late_threshold(
         self, minimum: float, maximum: float = float("inf")
     ) -> float:
         """Return the seconds after which an operation is late, bounded."""
--- a/postspring/keyedlog/errors.py
+++ b/postspring/keyedlog/errors.py
@@ -16,13 +16,13 @@
 
     Attributes
     ----------
-    shows_away : bool
+    shows_outage : bool
         Whether the error shows that the log was unavailable to this VM when
         the call was made: the call was sent, and the log did not respond or
         failed.
     """
 
-    shows_away = False
+    shows_outage = False
 
 
 class LogUnavailable(KeyedLogError):
@@ -34,7 +34,7 @@
         Short name of the cause.
     """
 
-    shows_away = True
+    shows_outage = True
 
     def __init__(self, reason: str):
         super().__init__(f"the log is not available: {reason}")
@@ -44,13 +44,13 @@
 class LogBusy(LogUnavailable):
     """The log refused the call because of too many calls; it has no effect."""
 
-    shows_away = False
+    shows_outage = False
 
 
 class LogDown(LogUnavailable):
     """The call was not made, as the log has not responded lately."""
 
-    shows_away = False
+    shows_outage = False
 
 
 class LogExpired(KeyedLogError):
--- a/postspring/keyedlog/follower.py
+++ b/postspring/keyedlog/follower.py
@@ -9,7 +9,7 @@
 from postspring.keyedlog import ports
 from postspring.transport import timers as timers_module
 
-__all__ = ["AskOthers", "Follower", "Outage"]
+__all__ = ["Follower", "Outage", "RequestView"]
 
 LOG = logging.getLogger(__name__)
 
@@ -22,7 +22,7 @@
 BUSY_RETRY_SECONDS = (0.1, 0.15, 0.2)
 
 
-AskOthers = Callable[[ports.LogPlace, Callable[[ports.LogPage], None]], None]
+RequestView = Callable[[ports.LogPlace, Callable[[ports.LogPage], None]], None]
 
 
 class Outage(NamedTuple):
@@ -38,35 +38,35 @@
         Start of the last successful call before the outage; seconds.
     failed_at : float
         Start of the first failed call.
-    away_at : float
+    unavailable_at : float
         Start of the last call that showed the log to be unavailable: it may
         have been available again from then on.  Before the outage if no call
         showed that.
-    regained_at : float
+    recovered_at : float
         When a call succeeded again.
 
     Examples
     ========
 
-    >>> outage = Outage(1.0, 2.0, away_at=5.0, regained_at=5.5)
+    >>> outage = Outage(1.0, 2.0, unavailable_at=5.0, recovered_at=5.5)
     >>> outage.shortest, outage.longest
     (3.0, 4.5)
     """
 
     answered_at: float
     failed_at: float
-    away_at: float
-    regained_at: float
+    unavailable_at: float
+    recovered_at: float
 
     @property
     def shortest(self) -> float:
         """Minimum duration in seconds; 0 if a single call failed."""
-        return max(0.0, self.away_at - self.failed_at)
+        return max(0.0, self.unavailable_at - self.failed_at)
 
     @property
     def longest(self) -> float:
         """Maximum duration in seconds."""
-        return self.regained_at - self.answered_at
+        return self.recovered_at - self.answered_at
 
 
 class Follower:
@@ -82,7 +82,7 @@
     Parameters
     ==========
 
-    pace : callable
+    read_interval : callable
         Returns the minimum seconds between two reads: each call is paid for,
         and irrelevant records end a waiting read too.
     wait : callable
@@ -91,10 +91,10 @@
         Called with the newest record of each key, which replace all others.
     on_entries : callable
         Called with the records added since.
-    on_regained : callable
+    on_recovered : callable
         Called with the outage when a read succeeds again, before its records
         are applied.
-    ask_others : callable, optional
+    request_view : callable, optional
         Requests the views of other VMs if a read fails while this VM has no
         view; called with the place and a callback for a page.
     """
@@ -106,20 +106,20 @@
         place: ports.LogPlace,
         on_reset: Callable[[list[ports.LogEntry]], None],
         on_entries: Callable[[list[ports.LogEntry]], None],
-        pace: Callable[[], float] = lambda: 0.0,
+        read_interval: Callable[[], float] = lambda: 0.0,
         wait: Callable[[], float] = lambda: 0.0,
-        on_regained: Callable[[Outage], None] = lambda outage: None,
-        ask_others: AskOthers = lambda place, on_page: None,
+        on_recovered: Callable[[Outage], None] = lambda outage: None,
+        request_view: RequestView = lambda place, on_page: None,
     ):
-        self._request_view = ask_others
+        self._request_view = request_view
         self._newest_by_key: dict[str, ports.LogEntry] = {}
         self._log = log
         self._timers = timers
         self._place = place
         self._on_reset = on_reset
         self._on_entries = on_entries
-        self._on_recovered = on_regained
-        self._read_interval = pace
+        self._on_recovered = on_recovered
+        self._read_interval = read_interval
         self._wait = wait
         self._next_offset: int | None = None
         self._read_number = 0
@@ -130,7 +130,7 @@
         self.fresh_at = -math.inf
         self._confirmed_at = -math.inf
         self._confirmed_end = -1
-        self.lost_since: float | None = None
+        self.failing_since: float | None = None
         self._answered_at = timers.now()
         self._failed_at = timers.now()
         self._unavailable_at = -math.inf
@@ -214,7 +214,7 @@
         if self._next_offset is None:
             self._log.read_newest(self._place, on_page, on_error)
         else:
-            can_wait = self._may_wait and self.lost_since is None
+            can_wait = self._may_wait and self.failing_since is None
             self._wait_seconds = self._wait() if can_wait else 0.0
             self._log.read(
                 self._place,
@@ -273,11 +273,11 @@
             self._next_offset = None
             self._schedule_read(0.0)
             return
-        if error.shows_away:
+        if error.shows_outage:
             self._unavailable_at = self._sent_at
-        if self.lost_since is None:
+        if self.failing_since is None:
             self._failed_at = self._sent_at
-            self.lost_since = self._timers.now()
+            self.failing_since = self._timers.now()
             LOG.warning(
                 "log lost",
                 extra={
@@ -309,10 +309,10 @@
             self._answered_at, self._failed_at, self._unavailable_at, now
         )
         self._answered_at = self._sent_at
-        if self.lost_since is None:
+        if self.failing_since is None:
             return
-        seconds = now - self.lost_since
-        self.lost_since = None
+        seconds = now - self.failing_since
+        self.failing_since = None
         LOG.info(
             "log regained",
             extra={
--- a/postspring/keyedlog/ports.py
+++ b/postspring/keyedlog/ports.py
@@ -17,7 +17,7 @@
     "LogPage",
     "LogPlace",
     "Subject",
-    "is_bounded",
+    "has_age_bound",
 ]
 
 
@@ -42,14 +42,14 @@
     partition: int
 
 
-def is_bounded(place: LogPlace) -> bool:
+def has_age_bound(place: LogPlace) -> bool:
     """Return whether VMs must read new records within a bounded time.
 
     Examples
     --------
-    >>> is_bounded(LogPlace(Subject.CONFIGURATION, 0))
+    >>> has_age_bound(LogPlace(Subject.CONFIGURATION, 0))
     True
-    >>> is_bounded(LogPlace(Subject.PROGRAMS, 0))
+    >>> has_age_bound(LogPlace(Subject.PROGRAMS, 0))
     False
     """
     return place.subject in (Subject.CONFIGURATION, Subject.UPSTREAMS)
--- a/postspring/keyedlog/tests/test_follower.py
+++ b/postspring/keyedlog/tests/test_follower.py
@@ -27,8 +27,8 @@
             PLACE,
             self.resets.append,
             self.added.extend,
-            pace=lambda: 0.5,
-            on_regained=self.outages.append,
+            read_interval=lambda: 0.5,
+            on_recovered=self.outages.append,
         )
         self.put("a", b"1")
 
@@ -49,7 +49,7 @@
         self.clock.run_for(1)
         self.log.faults.down = True
         self.clock.run_for(2)
-        self.assertIsNotNone(self.follower.lost_since)
+        self.assertIsNotNone(self.follower.failing_since)
         self.assertGreater(self.follower.age, 1.5)
         self.put("b", b"2")
         self.log.faults.down = False
--- a/postspring/metrics.py
+++ b/postspring/metrics.py
@@ -41,7 +41,7 @@
         self.held = self._counter(
             "held_answers", "Answers given before they were in the log"
         )
-        self.cuts = self._counter(
+        self.interrupted_responses = self._counter(
             "connections_cut",
             "Callers' connections that ended with something owed, by whom",
         )
@@ -78,15 +78,15 @@
         self.refusal_counts[reason, ran] += 1
         self.refusals.add(1, {"reason": reason, "ran": ran})
 
-    def store_called(self, name: str, outcome: str) -> None:
+    def count_store_call(self, name: str, outcome: str) -> None:
         """Count a call to the platform's store."""
         self.store_calls.add(1, {"call": name, "outcome": outcome})
 
-    def entry_refused(self) -> None:
+    def count_unreadable_entry(self) -> None:
         """Count an upstream's entry that can't be decoded."""
         self.entries_refused.add(1)
 
-    def observe(self, name: str, description: str, function: Any) -> None:
+    def add_gauge(self, name: str, description: str, function: Any) -> None:
         """Add a gauge whose value ``function()`` returns at each scrape."""
         self._meter.create_observable_gauge(
             f"postspring_{name}",
--- a/postspring/peering/__init__.py
+++ b/postspring/peering/__init__.py
@@ -21,7 +21,7 @@
 from postspring.peering.messages import STORE_PREFIX
 from postspring.peering.peer_client import PeerClient
 from postspring.peering.permits import Permits
-from postspring.peering.promises import Promises
+from postspring.peering.program_leases import ProgramLeases
 from postspring.peering.service import PeerService
 
 __all__ = [
@@ -33,7 +33,7 @@
     "PeerClient",
     "PeerService",
     "Permits",
-    "Promises",
+    "ProgramLeases",
     "STORE_PREFIX",
     "collector_of",
 ]
--- a/postspring/peering/failover.py
+++ b/postspring/peering/failover.py
@@ -5,7 +5,7 @@
 import math
 
 from postspring import keyedlog
-from postspring.peering import avoidance
+from postspring.peering import avoided_vms
 from postspring.peering import failover_call
 from postspring.peering import members as members_module
 from postspring.transport import timers as timers_module
@@ -85,9 +85,9 @@
         self._unanswered_since: float | None = None
         self._answered_at = timers.now()
         self._direct_answered_at = -math.inf
-        self._append_time = keyedlog.UsualTime()
+        self._append_time = keyedlog.AverageDuration()
         self.direct = direct
-        self._through = log_via
+        self._log_via = log_via
         self._members = members
         self._timers = timers
         self._failing_since: float | None = None
@@ -96,11 +96,11 @@
         self._path_probed_at = -math.inf
         self._has_failed_fast = False
         self._probed_at_by_place: dict[keyedlog.LogPlace, float] = {}
-        self._avoided = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
+        self._avoided = avoided_vms.AvoidedVms(AVOID_SECONDS, timers.now)
         self._unreachable_until: dict[keyedlog.LogPlace, float] = {}
 
     @property
-    def is_direct(self) -> bool:
+    def has_direct_path(self) -> bool:
         """Whether the direct path leads to the log at all."""
         return self._failing_since is None
 
@@ -117,7 +117,7 @@
         interruptions are brief.  So a lost path counts as leading to the log
         for as long as requests of other VMs may wait for its return.
         """
-        if self.is_direct or self.accepts_calls:
+        if self.has_direct_path or self.accepts_calls:
             return True
         return self._timers.now() - self._failing_since < BRIEF_LOSS_SECONDS
 
@@ -126,19 +126,19 @@
         return self._direct_answered_at > moment
 
     @property
-    def silence(self) -> float:
+    def silent_seconds(self) -> float:
         """Seconds since the log responded, by any path."""
         return self._timers.now() - self._answered_at
 
     @property
-    def is_broken(self) -> bool:
+    def is_breaker_open(self) -> bool:
         """Whether the circuit breaker is open: no path leads to the log.
 
         The time counts from an unanswered call: one VM of many makes few
         calls, and a pause between them is no outage.
         """
         since = self._unanswered_since
-        if self.is_direct or since is None:
+        if self.has_direct_path or since is None:
             return False
         return self._timers.now() - since > BREAKER_SECONDS
 
@@ -160,7 +160,9 @@
 
             log.append(place, entries, appended, failed)
 
-        hedge = self._append_time.late_after(HEDGE_SECONDS, MAX_HEDGE_SECONDS)
+        hedge = self._append_time.late_threshold(
+            HEDGE_SECONDS, MAX_HEDGE_SECONDS
+        )
         hedge_extension = hedge - HEDGE_SECONDS
         append_extension = MAX_APPEND_HEDGE_SECONDS - hedge
         self._call(
@@ -220,7 +222,7 @@
         Reads of the configuration are always made: it has to be in force soon
         after the log's return, and they are few.
         """
-        if not self.is_broken:
+        if not self.is_breaker_open:
             return False
         if place.subject is keyedlog.Subject.CONFIGURATION:
             return False
@@ -233,7 +235,7 @@
 
     def is_direct_usable(self, place: keyedlog.LogPlace) -> bool:
         """Return whether the direct path works for a partition."""
-        return self.is_direct and place not in self._probed_at_by_place
+        return self.has_direct_path and place not in self._probed_at_by_place
 
     def should_try_direct(self, place: keyedlog.LogPlace) -> bool:
         """Return whether to make a call by the direct path.
@@ -249,9 +251,9 @@
         now = self._timers.now()
         probed_at = self._probed_at_by_place.get(place, -math.inf)
         pause = PROBE_SECONDS
-        if keyedlog.is_bounded(place):
+        if keyedlog.has_age_bound(place):
             pause = BOUNDED_PROBE_SECONDS
-        elif not self.is_direct:
+        elif not self.has_direct_path:
             probed_at = max(probed_at, self._path_probed_at)
         if now - probed_at < pause:
             return False
@@ -336,7 +338,7 @@
 
     def log_via(self, member: members_module.Member) -> keyedlog.KeyedLog:
         """Return the log as reached through a VM."""
-        return self._through(member)
+        return self._log_via(member)
 
     def avoid(self, member: members_module.Member, asked_at: float) -> None:
         """Avoid a VM that could not help for a while.
--- a/postspring/peering/failover_call.py
+++ b/postspring/peering/failover_call.py
@@ -71,7 +71,7 @@
         self._is_configuration = (
             place.subject is keyedlog.Subject.CONFIGURATION
         )
-        self._is_bounded = keyedlog.is_bounded(place)
+        self._has_age_bound = keyedlog.has_age_bound(place)
         self._tries = 0
         self._pending = 0
         self._helpers: list[members_module.Member] | None = None
@@ -89,7 +89,7 @@
         the discovery that it is back, so calls have a shorter timeout then.
         """
         self._log.note_call()
-        if self._log.is_broken:
+        if self._log.is_breaker_open:
             self._outage_timer = self._log.call_later(
                 OUTAGE_TIMEOUT_SECONDS, self._give_up
             )
@@ -162,7 +162,7 @@
             )
             return
         self._log.direct_failed(self._place, "slow", self._sent_at)
-        if self._is_bounded and (was_usable or self._tries > 1):
+        if self._has_age_bound and (was_usable or self._tries > 1):
             self._retry_directly()
         self._ask_helpers(keyedlog.LogUnavailable("slow"))
 
@@ -286,7 +286,7 @@
     def _fail(self, error: keyedlog.KeyedLogError) -> None:
         if not self._tries:
             # Other VMs could not help, which says nothing of the log.
-            error.shows_away = False
+            error.shows_outage = False
         # A busy log is not down: other VMs may still charge programs in it.
         if not isinstance(error, keyedlog.LogBusy):
             is_down = not isinstance(error, keyedlog.LogExpired)
--- a/postspring/peering/isolation.py
+++ b/postspring/peering/isolation.py
@@ -26,7 +26,7 @@
 SILENCE_SECONDS = 0.3
 # The load balancer probes readiness once a second and needs two refusals, so
 # callers that still arrive after this time can't be served elsewhere.
-SENT_AWAY_SECONDS = 3.0
+CALLER_RETRY_SECONDS = 3.0
 # Time that it takes to append the records which a cut has delayed.
 RECENT_SECONDS = 10.0
 
@@ -52,9 +52,9 @@
 
     members : Members
         The VMs to probe; those of other data centres if there are any.
-    is_direct : callable
+    has_direct_path : callable
         Returns whether the direct path leads to the log.
-    silence : callable
+    silent_seconds : callable
         Returns the seconds since the log responded, by any path.
     """
 
@@ -63,14 +63,14 @@
         http: transport.HttpClient,
         timers: transport.Timers,
         members: members_module.Members,
-        is_direct: Callable[[], bool],
-        silence: Callable[[], float],
+        has_direct_path: Callable[[], bool],
+        silent_seconds: Callable[[], float],
     ):
         self._http = http
         self._timers = timers
         self._members = members
-        self._is_direct = is_direct
-        self._silence = silence
+        self._is_direct = has_direct_path
+        self._silent_seconds = silent_seconds
         self._began_at = math.inf
         self._ended_at = -math.inf
         self._is_probing = False
@@ -86,17 +86,17 @@
         return self._began_at < math.inf
 
     @property
-    def was_isolated(self) -> bool:
+    def is_or_was_isolated(self) -> bool:
         """Whether this VM is isolated, or was until a few seconds ago."""
         since = self._timers.now() - self._ended_at
         return self.is_isolated or since < RECENT_SECONDS
 
     @property
-    def sends_away(self) -> bool:
+    def callers_should_retry(self) -> bool:
         """Whether callers should retry through the load balancer."""
         if not self.is_isolated:
             return False
-        return self._timers.now() - self._began_at < SENT_AWAY_SECONDS
+        return self._timers.now() - self._began_at < CALLER_RETRY_SECONDS
 
     # -- own ------------------------------------------------------------------
 
@@ -130,15 +130,19 @@
     def _round_failed(self) -> None:
         self._is_probing = False
         self._failed_rounds += 1
-        silence = self._silence()
-        if self.is_isolated or self._is_direct() or silence < SILENCE_SECONDS:
+        silent_seconds = self._silent_seconds()
+        if (
+            self.is_isolated
+            or self._is_direct()
+            or silent_seconds < SILENCE_SECONDS
+        ):
             return
         if self._failed_rounds < FAILED_ROUNDS:
             return
         self._began_at = self._timers.now()
         LOG.warning(
             "isolated from the log and other data centres",
-            extra={"log_silent": round(silence, 2)},
+            extra={"log_silent": round(silent_seconds, 2)},
         )
 
     def _end(self, by: str) -> None:
@@ -173,7 +177,7 @@
             request = messages.request_to(
                 member.peers, messages.PING_PATH, b"", PROBE_TIMEOUT_SECONDS
             )
-            collector = transport.AnswerCollector(
+            collector = transport.ResponseCollector(
                 lambda status, body: self._on_answer(),
                 lambda error: self._probe_failed(),
             )
--- a/postspring/peering/loads.py
+++ b/postspring/peering/loads.py
@@ -16,10 +16,10 @@
 
 from postspring import errors
 from postspring import keyedlog
-from postspring.peering import avoidance
+from postspring.peering import avoided_vms
 from postspring.peering import members as members_module
 from postspring.peering import messages
-from postspring.peering import sightings as suspicion_module
+from postspring.peering import suspicion_exchange as suspicion_module
 from postspring import transport
 from postspring.transport import timers as timers_module
 from postspring import upstreams
@@ -151,7 +151,7 @@
         )
         self._active_at = -math.inf
         self._collects_until = -math.inf
-        self._avoided = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
+        self._avoided = avoided_vms.AvoidedVms(AVOID_SECONDS, timers.now)
 
     @property
     def is_collecting(self) -> bool:
@@ -162,21 +162,21 @@
         """Start the periodic reports."""
         self._timers.call_every(REPORT_INTERVAL_SECONDS, self._report)
 
-    def answer(self, report: messages.LoadsReport) -> messages.Loads:
+    def answer(self, report: messages.LoadsReport) -> messages.LoadsResponse:
         """Handle a report; return the calls in flight of all others."""
         self._collects_until = self._timers.now() + IDLE_SECONDS
         self._collector.add_report(
             report.source, report.is_data_center, dict(report.calls)
         )
-        self._suspicions.collect(report.sightings, report.is_data_center)
+        self._suspicions.collect(report.observations, report.is_data_center)
         if report.is_data_center:
-            return messages.Loads([])
+            return messages.LoadsResponse([])
         calls = self._collector.calls_except(report.source)
         end, age = -1, 0.0
         if self._configuration is not None:
             end = self._configuration.confirmed_end
             age = self._configuration.confirmed_age
-        return messages.Loads(
+        return messages.LoadsResponse(
             list(calls.items()),
             self._suspicions.suspects(),
             end,
@@ -189,10 +189,10 @@
         now = self._timers.now()
         own = self._members.own
         calls = self._own_calls()
-        sightings = self._suspicions.take_own()
+        observations = self._suspicions.take_own()
         if (
             calls
-            or sightings
+            or observations
             or self._was_answered_since(now - REPORT_INTERVAL_SECONDS)
         ):
             self._active_at = now
@@ -205,10 +205,10 @@
         ]
         collector = collector_of(reachable, own.data_center)
         if collector is None or collector.name == own.name:
-            self._collect(calls, sightings, reachable)
+            self._collect(calls, observations, reachable)
         elif now - self._active_at <= IDLE_SECONDS:
             report = messages.LoadsReport(
-                own.name, False, list(calls.items()), sightings
+                own.name, False, list(calls.items()), observations
             )
             answered = functools.partial(self._answered, now)
             self._send(collector, report, answered)
@@ -230,11 +230,11 @@
             for upstream in self._directory.by_id.values()
         )
 
-    def _collect(self, calls: Calls, sightings, reachable) -> None:
+    def _collect(self, calls: Calls, observations, reachable) -> None:
         """Act as the collector: send this data centre's sum to the others."""
         own = self._members.own
         self._collector.add_report(own.name, False, calls)
-        self._suspicions.collect(sightings, False)
+        self._suspicions.collect(observations, False)
         self._note_other_calls(self._collector.calls_except(own.name))
         self._suspicions.apply(self._suspicions.suspects())
         total = list(self._collector.data_center_sum().items())
@@ -254,13 +254,15 @@
             ANSWER_TIMEOUT_SECONDS,
         )
         failed = functools.partial(self._on_transport_error, member)
-        self._http.send(request, transport.AnswerCollector(on_answer, failed))
+        self._http.send(
+            request, transport.ResponseCollector(on_answer, failed)
+        )
 
     def _answered(self, asked_at: float, status: int, body: bytes) -> None:
         if status != 200:
             return
         try:
-            loads = messages.decode(messages.Loads, body)
+            loads = messages.decode(messages.LoadsResponse, body)
         except errors.PeerError:
             # Malformed: the collector may run another version.
             return
@@ -274,7 +276,7 @@
     def _note_other_calls(self, calls: Calls) -> None:
         now = self._timers.now()
         for upstream in self._directory.by_id.values():
-            upstream.note_others(calls.get(upstream.incarnation, 0), now)
+            upstream.note_peer_calls(calls.get(upstream.incarnation, 0), now)
 
     def _on_transport_error(self, member, error) -> None:
         self._avoided.add(member)
--- a/postspring/peering/members.py
+++ b/postspring/peering/members.py
@@ -70,7 +70,7 @@
         This VM.
     seeds : tuple
         Addresses of VMs to use while the list can't be read.
-    ask_others : callable
+    request_view : callable
         Requests other VMs' views of the list.
 
     Attributes
@@ -89,7 +89,7 @@
         timers: timers_module.Timers,
         own: Member,
         seeds: tuple[tuple[str, int], ...] = (),
-        ask_others: Callable = lambda place, on_page: None,
+        request_view: Callable = lambda place, on_page: None,
     ):
         self.seeds = [seed for seed in seeds if seed != own.peers]
         self._log = log
@@ -113,9 +113,9 @@
             PLACE,
             self._reset,
             self._apply,
-            pace=lambda: HEARTBEAT_SECONDS,
-            on_regained=self._log_regained,
-            ask_others=ask_others,
+            read_interval=lambda: HEARTBEAT_SECONDS,
+            on_recovered=self._log_regained,
+            request_view=request_view,
         )
 
     def start(self) -> None:
@@ -159,7 +159,7 @@
             self._read_from(page.next, on_done, on_error)
 
     @property
-    def is_first(self) -> bool:
+    def is_first_of_name(self) -> bool:
         """Whether the list has shown no other process with this VM's name.
 
         The settings state that too, but VMs that are started by hand get the
@@ -178,7 +178,7 @@
         """This VM's entry, encoded."""
         return _encode(self.own)
 
-    def introduce(self, name: str, entry: bytes) -> None:
+    def add_member(self, name: str, entry: bytes) -> None:
         """Add a VM whose entry this VM may not have read from the log yet."""
         self._apply([keyedlog.LogEntry(name, entry)])
 
@@ -193,14 +193,14 @@
         return page._replace(entries=[*others, own])
 
     @property
-    def sharers(self) -> int:
+    def vm_count(self) -> int:
         """Number of VMs that share the log's rate, this one included."""
         # Until the first read the list is empty, like that of a single VM.
         known = math.isfinite(self._follower.age)
         return max(1 if known else ASSUMED_VMS, len(self.by_name))
 
     @property
-    def sharers_here(self) -> int:
+    def local_vm_count(self) -> int:
         """Number of VMs in this data centre, this one included."""
         here = self.own.data_center
         return 1 + sum(member.data_center == here for member in self.listed)
@@ -263,7 +263,7 @@
         self._log.append(
             PLACE, [entry], lambda offset: None, lambda error: None
         )
-        if self._follower.lost_since is None:
+        if self._follower.failing_since is None:
             self._expire()
 
     def _expire(self) -> None:
--- a/postspring/peering/messages.py
+++ b/postspring/peering/messages.py
@@ -11,16 +11,16 @@
 
 __all__ = [
     "FindRequest",
-    "Found",
-    "KeepRequest",
-    "KeepResponse",
-    "Loads",
+    "FindResponse",
     "LoadsReport",
+    "LoadsResponse",
     "PermitRequest",
     "PermitResponse",
     "RecordRequest",
-    "View",
+    "StoreReplicasRequest",
+    "StoreReplicasResponse",
     "ViewRequest",
+    "ViewResponse",
     "decode",
     "encode",
     "request_to",
@@ -42,23 +42,23 @@
 STORE_PREFIX = "/peer/store"
 
 
-class KeepRequest(msgspec.Struct, frozen=True, array_like=True):
+class StoreReplicasRequest(msgspec.Struct, frozen=True, array_like=True):
     """Request to store replicas of records until the log has them.
 
     Parameters
     ==========
 
-    is_log_away : bool
+    is_log_unavailable : bool
         The sender can't reach the log: a receiver that can appends the records
         at once.
     """
 
     records: list[bytes]
-    is_log_away: bool = False
+    is_log_unavailable: bool = False
 
 
-class KeepResponse(msgspec.Struct, frozen=True, array_like=True):
-    """The response to :class:`KeepRequest`.
+class StoreReplicasResponse(msgspec.Struct, frozen=True, array_like=True):
+    """The response to :class:`StoreReplicasRequest`.
 
     Parameters
     ==========
@@ -115,19 +115,19 @@
     is_offline_request: bool = False
 
 
-class Found(msgspec.Struct, frozen=True, array_like=True):
+class FindResponse(msgspec.Struct, frozen=True, array_like=True):
     """The response to :class:`FindRequest`.
 
     Parameters
     ==========
 
-    can_take : bool
+    can_run : bool
         The responding VM could run the turn without the log.
     has_program : bool
         The VM has some turn of the program in memory, or runs it offline.
     has_turn : bool
         The VM has the turn that is to be continued in memory.
-    is_complete : bool
+    has_all_recent_turns : bool
         The VM has been up for long enough to have every turn that ended there
         recently.
     has_chain : bool
@@ -135,7 +135,7 @@
         calls.
     charged : int
         Tokens that the records read by the VM charge the program with.
-    home_tokens : int
+    offline_tokens : int
         Tokens that the program may spend at the VM while it runs offline
         there.
     is_leased_elsewhere : bool
@@ -146,25 +146,25 @@
     unsettled : list of (str, int)
         Turns of the program that ran offline, and the tokens that the log may
         not charge for them yet.
-    home_left : int
+    offline_tokens_left : int
         Tokens that the program may still spend offline at the VM.
-    knows_homes : bool
+    may_have_offline_charges : bool
         The log may lack turns of some program that ran offline, at the
         responding VM or at one that requested a lease from it.
     """
 
-    can_take: bool
+    can_run: bool
     has_program: bool
     has_turn: bool
-    is_complete: bool
+    has_all_recent_turns: bool
     has_chain: bool = False
     charged: int = 0
-    home_tokens: int = 0
+    offline_tokens: int = 0
     is_leased_elsewhere: bool = False
     may_be_offline_elsewhere: bool = False
     unsettled: list[tuple[str, int]] = msgspec.field(default_factory=list)
-    home_left: int = 0
-    knows_homes: bool = True
+    offline_tokens_left: int = 0
+    may_have_offline_charges: bool = True
 
 
 class ViewRequest(msgspec.Struct, frozen=True, array_like=True):
@@ -185,7 +185,7 @@
     entry: bytes
 
 
-class View(msgspec.Struct, frozen=True, array_like=True):
+class ViewResponse(msgspec.Struct, frozen=True, array_like=True):
     """The newest record of each key that the responding VM has read.
 
     Parameters
@@ -212,7 +212,7 @@
     calls : list of (str, int)
         Incarnations of upstreams and the calls in flight there; upstreams
         without calls are left out.
-    sightings : list of (str, float, int)
+    observations : list of (str, float, int)
         Observations of upstreams whose calls broke or that are suspected:
         incarnation, age in seconds, number of broken calls (0: the upstream
         sent something).
@@ -221,12 +221,12 @@
     source: str
     is_data_center: bool
     calls: list[tuple[str, int]]
-    sightings: list[tuple[str, float, int]] = msgspec.field(
+    observations: list[tuple[str, float, int]] = msgspec.field(
         default_factory=list
     )
 
 
-class Loads(msgspec.Struct, frozen=True, array_like=True):
+class LoadsResponse(msgspec.Struct, frozen=True, array_like=True):
     """The response to :class:`LoadsReport`.
 
     Parameters
@@ -258,7 +258,7 @@
 
     use : Use
         Purpose of the workspace's request.
-    insists : bool
+    ignore_readiness : bool
         No allocator of the data centre is ready; the receiver is to decide
         although it isn't ready either.
     ages : list of float
@@ -269,8 +269,8 @@
     """
 
     workspace: str
-    use: quotas.Use
-    insists: bool = False
+    use: quotas.PermitUse
+    ignore_readiness: bool = False
     ages: list[float] = msgspec.field(default_factory=list)
     is_return: bool = False
 
@@ -281,13 +281,13 @@
     Parameters
     ==========
 
-    state : DealState
+    state : PermitState
         Granted, refused, or not ready to decide.
     wait : float
         Seconds after which a refused request may be granted.
     """
 
-    state: quotas.DealState
+    state: quotas.PermitState
     wait: float
 
 
@@ -323,8 +323,8 @@
 
     Examples
     --------
-    >>> found = Found(True, True, False, True)
-    >>> decode(Found, encode(found)) == found
+    >>> found = FindResponse(True, True, False, True)
+    >>> decode(FindResponse, encode(found)) == found
     True
     """
     try:
--- a/postspring/peering/peer_client.py
+++ b/postspring/peering/peer_client.py
@@ -10,13 +10,13 @@
 from postspring import forwarding
 from postspring import histories
 from postspring import keyedlog
-from postspring.peering import avoidance
-from postspring.peering import holders
+from postspring.peering import avoided_vms
 from postspring.peering import isolation as isolation_module
 from postspring.peering import members as members_module
-from postspring.peering import message_budget
 from postspring.peering import messages
-from postspring.peering import promises as leases_module
+from postspring.peering import program_leases as leases_module
+from postspring.peering import rate_limiter
+from postspring.peering import replica_holders
 from postspring.peering import search as search_module
 from postspring.peering import settlement
 from postspring import transport
@@ -52,7 +52,7 @@
         The list of VMs.
     leases : Promises
         Leases on programs, granted to other VMs.
-    is_complete : callable
+    has_all_recent_turns : callable
         Returns whether this VM has every turn that ended here recently.
     isolation : Isolation
         Detects whether this VM is cut off.
@@ -70,33 +70,33 @@
         self,
         http: transport.HttpClient,
         members: members_module.Members,
-        leases: leases_module.Promises,
-        is_complete: Callable[[], bool],
+        leases: leases_module.ProgramLeases,
+        has_all_recent_turns: Callable[[], bool],
         isolation: isolation_module.Isolation,
         timers: transport.Timers,
     ):
         self._timers = timers
         self._isolation = isolation
         self._leases = leases
-        self._unresponsive = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
-        self.holders = holders.Holders(
+        self._unresponsive = avoided_vms.AvoidedVms(AVOID_SECONDS, timers.now)
+        self.holders = replica_holders.PeerReplicaHolders(
             http, members, self._unresponsive, timers
         )
-        self._rate_limiter = message_budget.MessageRateLimiter(timers.now)
+        self._rate_limiter = rate_limiter.MessageRateLimiter(timers.now)
         self._settlement = settlement.Settlement(
             members.own.incarnation,
             leases,
-            lambda: self._is_complete(),
+            lambda: self._has_all_recent_turns(),
             timers.now,
         )
         self._http = http
         self._members = members
-        self._is_complete = is_complete
+        self._has_all_recent_turns = has_all_recent_turns
 
     @property
-    def send_away(self) -> bool:
+    def callers_should_retry(self) -> bool:
         """Whether other data centres can serve callers better just now."""
-        return self._isolation.sends_away
+        return self._isolation.callers_should_retry
 
     def relayed_field(self, taker: upstreams.Upstream) -> tuple[str, str]:
         """Return a header field with the incarnation of the receiver.
@@ -166,7 +166,7 @@
         on_done: Callable[[forwarding.Finding], None],
     ) -> None:
         own = self._members.own
-        is_offline_request = question is forwarding.Question.HOME
+        is_offline_request = question is forwarding.Question.OFFLINE
         request = messages.FindRequest(
             own.name,
             facts.program,
@@ -215,7 +215,7 @@
                     body,
                     FIND_TIMEOUT_SECONDS,
                 ),
-                transport.AnswerCollector(
+                transport.ResponseCollector(
                     functools.partial(search.take, member),
                     functools.partial(
                         self._on_transport_error, member, search
@@ -242,11 +242,11 @@
     ) -> forwarding.Finding:
         """Combine the responses with the leases and the state of this VM."""
         own = self._members.own
-        finding = search.finding(own, self._is_complete())
+        finding = search.finding(own, self._has_all_recent_turns())
         if not has_fresh_list:
             doubts = (*finding.doubts, forwarding.Doubt.OLD_LIST)
             finding = dataclasses.replace(finding, doubts=doubts)
-        have_leases_expired = waited > leases_module.PROMISE_SECONDS
+        have_leases_expired = waited > leases_module.LEASE_SECONDS
         if have_leases_expired or not self._members.is_announced:
             # No program may begin here: either the leases from other VMs have
             # expired, as this VM was paused, or this VM is on no other VM's
@@ -282,9 +282,11 @@
         far = [item for item in rest if item.data_center != here]
         return [likely, near, far]
 
-    def may_owe(self, program: histories.ProgramId) -> bool:
+    def may_have_uncharged_turns(self, program: histories.ProgramId) -> bool:
         """Return whether other VMs may have turns that aren't charged yet."""
-        return self._settlement.may_owe(program, self._members.listed)
+        return self._settlement.may_have_uncharged_turns(
+            program, self._members.listed
+        )
 
     def _on_transport_error(
         self, member, search: search_module.Search, error
@@ -311,7 +313,7 @@
                 messages.request_to(
                     address, messages.VIEW_PATH, body, VIEW_TIMEOUT_SECONDS
                 ),
-                transport.AnswerCollector(
+                transport.ResponseCollector(
                     functools.partial(_take_view, on_page=on_page),
                     lambda error: LOG.info(
                         "no view from peer", extra={"reason": str(error)}
@@ -327,7 +329,7 @@
     if status != 200:
         return
     try:
-        view = messages.decode(messages.View, body)
+        view = messages.decode(messages.ViewResponse, body)
         entries = [
             keyedlog.LogEntry(str(key), bytes(value))
             for key, value in view.entries
--- a/postspring/peering/permits.py
+++ b/postspring/peering/permits.py
@@ -12,7 +12,7 @@
 
 from postspring import errors
 from postspring import forwarding
-from postspring.peering import avoidance
+from postspring.peering import avoided_vms
 from postspring.peering import members as members_module
 from postspring.peering import messages
 from postspring import quotas
@@ -51,7 +51,7 @@
         Number of data centres.
     span : float
         Seconds over which requests are counted.
-    takes_work : callable
+    accepts_work : callable
         Returns whether this VM accepts new calls: one that is shutting down
         grants no permits.
     """
@@ -64,18 +64,18 @@
         workspace_of: WorkspaceOf,
         data_center_count: int,
         span: float,
-        takes_work: Callable[[], bool] = lambda: True,
+        accepts_work: Callable[[], bool] = lambda: True,
     ):
         self._http = http
         self._timers = timers
         self._members = members
         self._workspace_of = workspace_of
-        self._takes_work = takes_work
-        self._dealer = quotas.Dealer(
+        self._takes_work = accepts_work
+        self._allocator = quotas.QuotaAllocator(
             data_center_count, span, timers.now, lambda: members.listed_seconds
         )
         self._granted = quotas.GrantedPermits(span)
-        self.avoided = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
+        self.avoided = avoided_vms.AvoidedVms(AVOID_SECONDS, timers.now)
         # Allocators by workspace and data centre, as of a revision of the list
         # of VMs: hashing all VMs for each call would cost more than the call
         # to the allocator.
@@ -83,16 +83,16 @@
         self._allocators_by_part: dict[
             tuple[str, str], list[members_module.Member]
         ] = {}
-        self._refused_until: dict[tuple[str, quotas.Use], float] = {}
+        self._refused_until: dict[tuple[str, quotas.PermitUse], float] = {}
 
     def start(self) -> None:
         """Start the allocator's clock."""
-        self._timers.call_every(TICK_SECONDS, self._dealer.tick)
+        self._timers.call_every(TICK_SECONDS, self._allocator.tick)
 
-    def ask(
+    def request_permit(
         self,
         workspace: workspaces.Workspace,
-        use: quotas.Use,
+        use: quotas.PermitUse,
         on_done: OnVerdict,
     ) -> None:
         """Request a permit for a call."""
@@ -108,15 +108,15 @@
     ) -> messages.PermitResponse:
         """Handle another VM's request for a permit."""
         if request.is_return:
-            self._dealer.take_back(request.workspace)
-            return messages.PermitResponse(quotas.DealState.GRANTED, 0.0)
+            self._allocator.release_permit(request.workspace)
+            return messages.PermitResponse(quotas.PermitState.GRANTED, 0.0)
         workspace = self._workspace_of(request.workspace)
         if workspace is None or not self._takes_work():
-            return messages.PermitResponse(quotas.DealState.NOT_READY, 0.0)
-        deal = self._deal(
-            workspace, request.use, request.insists, request.ages
+            return messages.PermitResponse(quotas.PermitState.NOT_READY, 0.0)
+        decision = self._decide(
+            workspace, request.use, request.ignore_readiness, request.ages
         )
-        return messages.PermitResponse(deal.state, deal.wait)
+        return messages.PermitResponse(decision.state, decision.wait)
 
     # -- for _PermitCall ------------------------------------------------------
 
@@ -129,7 +129,7 @@
         random.shuffle(rest)
         return [here, *rest]
 
-    def dealers(
+    def allocators(
         self, workspace: str, data_center: str
     ) -> list[members_module.Member]:
         """Return the possible allocators of a workspace in a data centre.
@@ -153,15 +153,15 @@
         own = self._members.own
         if own.name not in self._members.by_name:
             vms.append(own)
-        return quotas.dealers_of(workspace, vms, data_center)
+        return quotas.allocators_of(workspace, vms, data_center)
 
     def ask_allocator(
         self,
         member: members_module.Member,
         workspace: workspaces.Workspace,
-        use: quotas.Use,
-        insists: bool,
-        on_decision: Callable[[quotas.Deal], None],
+        use: quotas.PermitUse,
+        ignore_readiness: bool,
+        on_decision: Callable[[quotas.PermitDecision], None],
         on_failure: Callable[[], None],
     ) -> None:
         """Request a permit from one allocator, which may be this VM's."""
@@ -169,39 +169,43 @@
         part = (workspace.name, member.data_center, member.incarnation)
         ages = self._granted.ages(*part, now)
 
-        def on_answer(deal: quotas.Deal) -> None:
-            if deal.state is not quotas.DealState.NOT_READY:
-                self._granted.note_told(*part)
-            if deal.state is quotas.DealState.GRANTED:
+        def on_answer(decision: quotas.PermitDecision) -> None:
+            if decision.state is not quotas.PermitState.NOT_READY:
+                self._granted.mark_reported(*part)
+            if decision.state is quotas.PermitState.GRANTED:
                 self._granted.add(*part, self._timers.now())
-            on_decision(deal)
+            on_decision(decision)
 
         def failed() -> None:
             self.avoided.add(member)
             on_failure()
 
         if member.name == self._members.own.name:
-            on_answer(self._deal(workspace, use, insists, ages))
+            on_answer(self._decide(workspace, use, ignore_readiness, ages))
             return
-        request = messages.PermitRequest(workspace.name, use, insists, ages)
+        request = messages.PermitRequest(
+            workspace.name, use, ignore_readiness, ages
+        )
         self._send(member, request, on_answer, failed)
 
-    def give_back(self, member: members_module.Member, workspace: str) -> None:
+    def release_permit(
+        self, member: members_module.Member, workspace: str
+    ) -> None:
         """Return a permit to its allocator.
 
         If the message is lost, the permit counts as used.
         """
         self._granted.remove(workspace, member.data_center, member.incarnation)
         if member.name == self._members.own.name:
-            self._dealer.take_back(workspace)
+            self._allocator.release_permit(workspace)
             return
         request = messages.PermitRequest(
-            workspace, quotas.Use.GOES_ON, is_return=True
+            workspace, quotas.PermitUse.CONTINUES_PROGRAM, is_return=True
         )
-        self._send(member, request, lambda deal: None, lambda: None)
+        self._send(member, request, lambda decision: None, lambda: None)
 
     def note_refusal(
-        self, workspace: str, use: quotas.Use, wait: float
+        self, workspace: str, use: quotas.PermitUse, wait: float
     ) -> None:
         """Refuse further requests of the same use for some seconds."""
         until = self._timers.now() + wait
@@ -209,19 +213,23 @@
 
     # -- own ------------------------------------------------------------------
 
-    def _deal(self, workspace, use, insists, ages) -> quotas.Deal:
+    def _decide(
+        self, workspace, use, ignore_readiness, ages
+    ) -> quotas.PermitDecision:
         own = self._members.own
-        first = self.dealers(workspace.name, own.data_center)[0]
+        first = self.allocators(workspace.name, own.data_center)[0]
         is_first = first.name == own.name
-        return self._dealer.ask(workspace, use, is_first, insists, ages)
+        return self._allocator.request_permit(
+            workspace, use, is_first, ignore_readiness, ages
+        )
 
     def _send(self, member, request, on_decision, on_failure) -> None:
         def answered(status: int, body: bytes) -> None:
-            deal = _decode_decision(status, body)
-            if deal is None:
+            decision = _decode_decision(status, body)
+            if decision is None:
                 on_failure()
             else:
-                on_decision(deal)
+                on_decision(decision)
 
         self._http.send(
             messages.request_to(
@@ -230,7 +238,7 @@
                 messages.encode(request),
                 ANSWER_TIMEOUT_SECONDS,
             ),
-            transport.AnswerCollector(answered, lambda error: on_failure()),
+            transport.ResponseCollector(answered, lambda error: on_failure()),
         )
 
 
@@ -241,7 +249,7 @@
         self,
         permits: Permits,
         workspace: workspaces.Workspace,
-        use: quotas.Use,
+        use: quotas.PermitUse,
         on_done: OnVerdict,
     ):
         self._permits = permits
@@ -249,7 +257,7 @@
         self._use = use
         self._on_done = on_done
         self._data_centers = permits.data_centers()
-        self._dealers: list[members_module.Member] = []
+        self._allocators: list[members_module.Member] = []
         self._unready: members_module.Member | None = None
         self._waits: list[float] = []
         self._asked = 0
@@ -265,16 +273,16 @@
             self._end()
             return
         data_center = self._data_centers.pop(0)
-        found = self._permits.dealers(self._workspace.name, data_center)
-        self._dealers = [
+        found = self._permits.allocators(self._workspace.name, data_center)
+        self._allocators = [
             member for member in found if member not in self._permits.avoided
         ]
         self._unready = None
         self._next_allocator()
 
     def _next_allocator(self) -> None:
-        if self._dealers:
-            self._ask(self._dealers.pop(0), False)
+        if self._allocators:
+            self._ask(self._allocators.pop(0), False)
         elif self._unready is not None:
             # No allocator here is ready; the first one that responded so
             # decides all the same.
@@ -283,41 +291,43 @@
         else:
             self._next_data_center()
 
-    def _ask(self, member: members_module.Member, insists: bool) -> None:
+    def _ask(
+        self, member: members_module.Member, ignore_readiness: bool
+    ) -> None:
         self._asked += 1
         self._permits.ask_allocator(
             member,
             self._workspace,
             self._use,
-            insists,
-            functools.partial(self._handle_decision, member, insists),
+            ignore_readiness,
+            functools.partial(self._handle_decision, member, ignore_readiness),
             self._next_allocator,
         )
 
     def _handle_decision(
-        self, member, insists: bool, deal: quotas.Deal
+        self, member, ignore_readiness: bool, decision: quotas.PermitDecision
     ) -> None:
-        if deal.state is quotas.DealState.GRANTED:
-            give_back = functools.partial(
-                self._permits.give_back, member, self._workspace.name
+        if decision.state is quotas.PermitState.GRANTED:
+            release_permit = functools.partial(
+                self._permits.release_permit, member, self._workspace.name
             )
             self._on_done(
                 forwarding.Verdict(
-                    True, dealers=self._asked, give_back=give_back
+                    True, allocators=self._asked, release_permit=release_permit
                 )
             )
-        elif deal.state is quotas.DealState.REFUSED:
-            self._waits.append(deal.wait)
+        elif decision.state is quotas.PermitState.REFUSED:
+            self._waits.append(decision.wait)
             self._next_data_center()
         else:
-            if not insists and self._unready is None:
+            if not ignore_readiness and self._unready is None:
                 self._unready = member
             self._next_allocator()
 
     def _end(self) -> None:
         if not self._waits:
             self._on_done(
-                forwarding.Verdict(False, False, dealers=self._asked)
+                forwarding.Verdict(False, False, allocators=self._asked)
             )
             return
         wait = min(*self._waits, MAX_REFUSAL_SECONDS)
@@ -329,15 +339,15 @@
     """Return the refusal of a limit that is used up for some seconds."""
     spread = 1.0 + RETRY_SPREAD * random.random()
     seconds = max(wait, MIN_REFUSAL_SECONDS) * spread
-    return forwarding.Verdict(False, retry_after=seconds, dealers=asked)
+    return forwarding.Verdict(False, retry_after=seconds, allocators=asked)
 
 
-def _decode_decision(status: int, body: bytes) -> quotas.Deal | None:
+def _decode_decision(status: int, body: bytes) -> quotas.PermitDecision | None:
     """Return an allocator's response; None if it is malformed."""
     if status != 200:
         return None
     try:
         permit = messages.decode(messages.PermitResponse, body)
-        return quotas.Deal(permit.state, permit.wait)
+        return quotas.PermitDecision(permit.state, permit.wait)
     except errors.PeerError:
         return None
--- a/postspring/peering/promises.py
+++ b/postspring/peering/program_leases.py
@@ -10,15 +10,15 @@
 
 from collections.abc import Callable
 
-__all__ = ["Promises"]
+__all__ = ["ProgramLeases"]
 
 # Longer than a VM takes to request leases and to begin.
-PROMISE_SECONDS = 0.5
+LEASE_SECONDS = 0.5
 # Programs whose requesters are remembered, the latest ones: about 1 MB.
 MAX_PROGRAMS = 10_000
 
 
-class Promises:
+class ProgramLeases:
     """Leases on programs that this VM has granted to others.
 
     Parameters
@@ -33,7 +33,7 @@
     Examples
     ========
 
-    >>> leases = Promises("b", lambda: 0.0)
+    >>> leases = ProgramLeases("b", lambda: 0.0)
     >>> leases.grant("p", "c"), leases.grant("p", "d")
     (True, False)
     >>> leases.is_leased("p")
@@ -75,7 +75,7 @@
 
         Examples
         --------
-        >>> leases = Promises("b", lambda: 0.0)
+        >>> leases = ProgramLeases("b", lambda: 0.0)
         >>> leases.note_request("p", "a1")
         >>> leases.note_request("p", "c1")
         >>> leases.note_request("p", "a1")
@@ -109,7 +109,7 @@
 
         Examples
         --------
-        >>> leases = Promises("b", lambda: 0.0)
+        >>> leases = ProgramLeases("b", lambda: 0.0)
         >>> leases.note_request("p", "a1")
         >>> leases.may_be_unsettled("p", "b1")
         True
@@ -134,7 +134,7 @@
         holder = self._holder(program)
         if holder not in (None, vm):
             return False
-        self._lease_by_program[program] = (vm, self._now() + PROMISE_SECONDS)
+        self._lease_by_program[program] = (vm, self._now() + LEASE_SECONDS)
         return True
 
     def is_leased(self, program: str) -> bool:
--- a/postspring/peering/recorders.py
+++ b/postspring/peering/remote_recorder.py
@@ -186,7 +186,7 @@
         request = messages.request_to(
             member.peers, messages.RECORD_PATH, body, seconds
         )
-        collector = transport.AnswerCollector(
+        collector = transport.ResponseCollector(
             functools.partial(self._answered, member, body),
             functools.partial(self._on_transport_error, body),
         )
--- a/postspring/peering/holders.py
+++ b/postspring/peering/replica_holders.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable
 
 from postspring import histories
-from postspring.peering import avoidance
+from postspring.peering import avoided_vms
 from postspring.peering import members as members_module
-from postspring.peering import recorders
-from postspring.peering import replicas
+from postspring.peering import remote_recorder
+from postspring.peering import replication
 from postspring import transport
 
-__all__ = ["Holders"]
+__all__ = ["PeerReplicaHolders"]
 
 # VMs respond to each other in a few ms; one that has not responded by then is
 # slow, dead or cut off.
@@ -20,7 +20,7 @@
 AVOID_SECONDS = 1.0
 
 
-class Holders(histories.ReplicaHolders):
+class PeerReplicaHolders(histories.ReplicaHolders):
     """The other VMs as holders of replicas.
 
     Parameters
@@ -40,23 +40,23 @@
         self,
         http: transport.HttpClient,
         members: members_module.Members,
-        unresponsive: avoidance.AvoidedVms,
+        unresponsive: avoided_vms.AvoidedVms,
         timers: transport.Timers,
     ):
         self._http = http
         self._members = members
         self._unresponsive = unresponsive
-        self._refusing = avoidance.AvoidedVms(AVOID_SECONDS, timers.now)
+        self._refusing = avoided_vms.AvoidedVms(AVOID_SECONDS, timers.now)
         # Incarnations that reported their shutdown; a few for each rolling
         # restart of the fleet.
         self._stopping: set[str] = set()
-        self._recorder = recorders.RemoteRecorder(http, timers)
+        self._recorder = remote_recorder.RemoteRecorder(http, timers)
 
-    def keep(
+    def replicate(
         self,
         record: bytes,
         on_done: Callable[[int], None],
-        is_log_away: bool = False,
+        is_log_unavailable: bool = False,
     ) -> None:
         """Send a replica to the nearest VM and to some elsewhere."""
         holders = self._replica_holders()
@@ -66,20 +66,20 @@
             on_done(0)
             return
         first, rest = (
-            holders[: replicas.PARALLEL_REQUESTS],
-            holders[replicas.PARALLEL_REQUESTS :],
+            holders[: replication.PARALLEL_REQUESTS],
+            holders[replication.PARALLEL_REQUESTS :],
         )
         rest = [
             member for member in rest if not self._is_unlikely_holder(member)
         ]
-        replicas.ReplicationCall(
+        replication.ReplicationCall(
             self._http,
             first + rest,
             False,
             self._recorder.with_log.note,
             self._replication_failed,
             on_done,
-        ).send([record], KEEP_TIMEOUT_SECONDS, is_log_away)
+        ).send([record], KEEP_TIMEOUT_SECONDS, is_log_unavailable)
 
     def record(
         self,
@@ -105,8 +105,8 @@
             for member in self._replica_holders()
             if member.incarnation not in self._stopping
         ]
-        enough = max(1, min(replicas.TARGET_REPLICAS, len(holders)))
-        replicas.ReplicationCall(
+        enough = max(1, min(replication.TARGET_REPLICAS, len(holders)))
+        replication.ReplicationCall(
             self._http,
             holders,
             True,
@@ -119,7 +119,7 @@
 
     def _replica_holders(self) -> list[members_module.Member]:
         here = self._members.own.data_center
-        return replicas.holder_order(
+        return replication.holder_order(
             self._members.others, here, self._is_unlikely_holder
         )
 
--- a/postspring/peering/replicas.py
+++ b/postspring/peering/replication.py
@@ -89,10 +89,15 @@
         self._stored = 0
 
     def send(
-        self, records: list[bytes], seconds: float, is_log_away: bool = False
+        self,
+        records: list[bytes],
+        seconds: float,
+        is_log_unavailable: bool = False,
     ) -> None:
         """Send the first requests; each VM has ``seconds`` to respond."""
-        body = messages.encode(messages.KeepRequest(records, is_log_away))
+        body = messages.encode(
+            messages.StoreReplicasRequest(records, is_log_unavailable)
+        )
         first = self._remaining[:PARALLEL_REQUESTS]
         self._remaining = self._remaining[PARALLEL_REQUESTS:]
         self._pending = len(first)
@@ -132,7 +137,7 @@
         request = messages.request_to(
             member.peers, messages.KEEP_PATH, body, seconds
         )
-        collector = transport.AnswerCollector(answered, unanswered)
+        collector = transport.ResponseCollector(answered, unanswered)
         self._http.send(request, collector)
 
     def _finish(self) -> None:
@@ -144,6 +149,8 @@
 def _reaches_log(answer: bytes) -> bool:
     """Return whether a response says that its VM reaches the log."""
     try:
-        return messages.decode(messages.KeepResponse, answer).reaches_log
+        return messages.decode(
+            messages.StoreReplicasResponse, answer
+        ).reaches_log
     except errors.PeerError:
         return False
--- a/postspring/peering/search.py
+++ b/postspring/peering/search.py
@@ -54,7 +54,7 @@
         self._ask = ask
         self._others = others
         self._on_done = on_done
-        self._answers: dict[str, messages.Found] = {}
+        self._answers: dict[str, messages.FindResponse] = {}
         self._pending = 0
         self._taker: members_module.Member | None = None
         self._chain_holder: members_module.Member | None = None
@@ -66,7 +66,7 @@
     ) -> None:
         """Handle a VM's response."""
         try:
-            found = messages.decode(messages.Found, body)
+            found = messages.decode(messages.FindResponse, body)
         except errors.PeerError as error:
             LOG.warning(
                 "malformed response from peer", extra={"error": str(error)}
@@ -76,18 +76,18 @@
         self.answered(member, found)
 
     def answered(
-        self, member: members_module.Member, found: messages.Found
+        self, member: members_module.Member, found: messages.FindResponse
     ) -> None:
         """Add a response; end the search if its VM can run the turn."""
         self._answers[member.name] = found
-        if found.can_take and self._taker is None:
+        if found.can_run and self._taker is None:
             self._taker = member
         if found.has_chain and self._chain_holder is None:
             self._chain_holder = member
         self._count_down()
 
     @property
-    def answer_by_name(self) -> Mapping[str, messages.Found]:
+    def answer_by_name(self) -> Mapping[str, messages.FindResponse]:
         """The response of each VM that has responded."""
         return self._answers
 
@@ -120,7 +120,7 @@
         self.start()
 
     def finding(
-        self, own: members_module.Member, is_complete: bool
+        self, own: members_module.Member, has_all_recent_turns: bool
     ) -> forwarding.Finding:
         """Return the combination of all responses."""
         answers = self._answers.values()
@@ -129,8 +129,10 @@
             for member in (*self._others, *self._absent)
             if member.data_center == own.data_center
         )
-        complete = is_complete and all(item.is_complete for item in answers)
-        doubts = self._doubts(is_complete)
+        complete = has_all_recent_turns and all(
+            item.has_all_recent_turns for item in answers
+        )
+        doubts = self._doubts(has_all_recent_turns)
         return forwarding.Finding(
             taker=_as_upstream(self._taker),
             chain_holder=_as_upstream(self._chain_holder),
@@ -144,27 +146,31 @@
             is_deferred=any(item.is_leased_elsewhere for item in answers),
             is_known_turn=any(item.has_turn for item in answers),
             charged=max((item.charged for item in answers), default=0),
-            home_tokens=sum(item.home_tokens for item in answers),
+            offline_tokens=sum(item.offline_tokens for item in answers),
             unsettled={
                 histories.TurnId(turn): tokens
                 for item in answers
                 for turn, tokens in item.unsettled
             },
-            home_left=sum(item.home_left for item in answers),
+            offline_tokens_left=sum(
+                item.offline_tokens_left for item in answers
+            ),
         )
 
-    def _doubts(self, is_complete: bool) -> tuple[forwarding.Doubt, ...]:
+    def _doubts(
+        self, has_all_recent_turns: bool
+    ) -> tuple[forwarding.Doubt, ...]:
         """Return why a VM may have a turn that no response mentioned."""
         # A VM that was started recently has lost the turns it had in memory.
         has_restarted = not all(
-            item.is_complete for item in self._answers.values()
+            item.has_all_recent_turns for item in self._answers.values()
         )
         holds_by_doubt = {
             forwarding.Doubt.VM_UNHEARD: len(self._answers)
             < len(self._others),
             forwarding.Doubt.VM_ABSENT: bool(self._absent),
             forwarding.Doubt.VM_RESTARTED: has_restarted,
-            forwarding.Doubt.STARTED_LATELY: not is_complete,
+            forwarding.Doubt.STARTED_LATELY: not has_all_recent_turns,
         }
         return tuple(doubt for doubt, holds in holds_by_doubt.items() if holds)
 
--- a/postspring/peering/service.py
+++ b/postspring/peering/service.py
@@ -7,7 +7,7 @@
 from postspring import histories
 from postspring import keyedlog
 from postspring.peering import messages
-from postspring.peering import promises as leases_module
+from postspring.peering import program_leases as leases_module
 from postspring import transport
 
 __all__ = ["PeerService"]
@@ -17,7 +17,7 @@
 # Relays a call to the log: method, path, body, and a callback that gets status
 # and body of the response.
 RelayCall = Callable[[str, str, bytes, Callable[[int, bytes], None]], None]
-TakeLoads = Callable[[messages.LoadsReport], messages.Loads]
+TakeLoads = Callable[[messages.LoadsReport], messages.LoadsResponse]
 AnswerPermit = Callable[[messages.PermitRequest], messages.PermitResponse]
 
 
@@ -33,21 +33,21 @@
         Relays another VM's call to the log.
     leases : Promises
         Leases on programs, granted to other VMs.
-    is_complete : callable
+    has_all_recent_turns : callable
         Returns whether this VM has every turn that ended here recently.
     view_of : callable
         Returns the records of a subject that this VM has read, or None.
-    introduce : callable
+    add_member : callable
         Called with name and entry of a VM that may be new.
-    takes_copies : callable
+    accepts_replicas : callable
         Returns whether this VM stays up: one that is shutting down refuses
         replicas, and the sender asks others at once.
-    is_direct : callable
+    has_direct_path : callable
         Returns whether the direct path from this VM leads to the log.
     reaches_log : callable
         Returns whether the log accepts calls of this VM, though some of its
         responses may be lost.
-    takes_work : callable
+    accepts_work : callable
         Returns whether this VM accepts new calls: one that is about to stop
         refuses them, so it must not report that it could run a turn.
     take_loads : callable
@@ -60,29 +60,29 @@
         self,
         journal: histories.Journal,
         relay_call: RelayCall,
-        leases: leases_module.Promises,
-        is_complete: Callable[[], bool],
+        leases: leases_module.ProgramLeases,
+        has_all_recent_turns: Callable[[], bool],
         view_of: Callable[[str], keyedlog.LogPage | None],
-        introduce: Callable[[str, bytes], None],
-        takes_copies: Callable[[], bool] = lambda: True,
-        is_direct: Callable[[], bool] = lambda: True,
+        add_member: Callable[[str, bytes], None],
+        accepts_replicas: Callable[[], bool] = lambda: True,
+        has_direct_path: Callable[[], bool] = lambda: True,
         reaches_log: Callable[[], bool] = lambda: False,
-        takes_work: Callable[[], bool] = lambda: True,
+        accepts_work: Callable[[], bool] = lambda: True,
         take_loads: TakeLoads | None = None,
         permit: AnswerPermit | None = None,
     ):
         self._permit = permit
         self._take_loads = take_loads
-        self._takes_copies = takes_copies
-        self._takes_work = takes_work
-        self._is_direct = is_direct
+        self._accepts_replicas = accepts_replicas
+        self._takes_work = accepts_work
+        self._is_direct = has_direct_path
         self._reaches_log = reaches_log
-        self._introduce = introduce
+        self._introduce = add_member
         self._view_of = view_of
         self._journal = journal
         self._relay_call = relay_call
         self._leases = leases
-        self._is_complete = is_complete
+        self._has_all_recent_turns = has_all_recent_turns
 
     def handle(self, call: transport.IncomingCall) -> None:
         """Handle one request."""
@@ -128,21 +128,23 @@
         self._relay_call(call.method, path, call.body, answered)
 
     def _keep(self, call: transport.IncomingCall) -> None:
-        request = messages.decode(messages.KeepRequest, call.body)
-        if not self._takes_copies():
+        request = messages.decode(messages.StoreReplicasRequest, call.body)
+        if not self._accepts_replicas():
             call.respond(messages.STOPPING_STATUS, [])
             return
         for record in request.records:
-            self._journal.keep_copy(record, request.is_log_away)
-        response = messages.KeepResponse(reaches_log=self._reaches_log())
+            self._journal.store_replica(record, request.is_log_unavailable)
+        response = messages.StoreReplicasResponse(
+            reaches_log=self._reaches_log()
+        )
         call.respond(200, [], messages.encode(response))
 
     def _record(self, call: transport.IncomingCall) -> None:
         request = messages.decode(messages.RecordRequest, call.body)
-        if not self._takes_copies() or not self._reaches_log():
+        if not self._accepts_replicas() or not self._reaches_log():
             call.respond(messages.LOG_UNREACHABLE_STATUS, [])
             return
-        self._journal.record_for_another(
+        self._journal.record_for_peer(
             request.turns, lambda: call.respond(200, [])
         )
 
@@ -154,7 +156,7 @@
             call.respond(404, [])
             return
         entries = [(entry.key, entry.value) for entry in page.entries]
-        view = messages.View(entries, page.next)
+        view = messages.ViewResponse(entries, page.next)
         call.respond(200, [], messages.encode(view))
 
     def _loads(self, call: transport.IncomingCall) -> None:
@@ -168,7 +170,7 @@
         previous = request.previous
         has_turn = has_chain = False
         if previous is not None:
-            ref = journal.ref_of(program, histories.TurnId(previous))
+            ref = journal.resolve_ref(program, histories.TurnId(previous))
             has_turn = journal.known_turn(ref) is not None
             has_chain = journal.known_chain(ref) is not None
         if request.entry:
@@ -185,20 +187,20 @@
             is_leased_elsewhere = not self._leases.grant(
                 request.program, request.vm
             )
-        can_take = journal.can_take(program, previous, request.ceiling)
-        found = messages.Found(
-            can_take=can_take and self._takes_work(),
+        can_run = journal.can_run(program, previous, request.ceiling)
+        found = messages.FindResponse(
+            can_run=can_run and self._takes_work(),
             has_program=journal.knows(program),
             has_turn=has_turn,
-            is_complete=self._is_complete(),
+            has_all_recent_turns=self._has_all_recent_turns(),
             has_chain=has_chain and self._takes_work(),
             charged=journal.charged(program),
-            home_tokens=journal.accounts.home_tokens(program),
+            offline_tokens=journal.accounts.offline_tokens(program),
             is_leased_elsewhere=is_leased_elsewhere,
             may_be_offline_elsewhere=was_requested_elsewhere,
             unsettled=list(journal.unsettled(program).items()),
-            home_left=journal.home_left(program),
-            knows_homes=journal.knows_homes
+            offline_tokens_left=journal.offline_tokens_left(program),
+            may_have_offline_charges=journal.may_have_offline_charges
             or self._leases.any_may_be_unsettled,
         )
         call.respond(200, [], messages.encode(found))
--- a/postspring/peering/settlement.py
+++ b/postspring/peering/settlement.py
@@ -13,7 +13,7 @@
 from postspring import histories
 from postspring.peering import members as members_module
 from postspring.peering import messages
-from postspring.peering import promises as leases_module
+from postspring.peering import program_leases as leases_module
 
 __all__ = ["Settlement"]
 
@@ -42,7 +42,7 @@
         This VM's incarnation.
     leases : Promises
         The VMs that requested leases from this one.
-    is_complete : callable
+    has_all_recent_turns : callable
         Returns whether this VM has every turn that ended here recently.
     now : callable
         Monotonic time in seconds.
@@ -51,20 +51,20 @@
     def __init__(
         self,
         own: str,
-        leases: leases_module.Promises,
-        is_complete: Callable[[], bool],
+        leases: leases_module.ProgramLeases,
+        has_all_recent_turns: Callable[[], bool],
         now: Callable[[], float],
     ):
         self._own = own
         self._leases = leases
-        self._is_complete = is_complete
+        self._has_all_recent_turns = has_all_recent_turns
         self._now = now
         self._started_at = now()
         self._settled: dict[histories.ProgramId, None] = {}
         self._without_offline: set[str] = set()
         self._waiting: list[Callable[[], None]] | None = None
 
-    def may_owe(
+    def may_have_uncharged_turns(
         self,
         program: histories.ProgramId,
         listed: Iterable[members_module.Member],
@@ -92,10 +92,10 @@
         return self._may_have_offline(listed)
 
     def note_answer(
-        self, member: members_module.Member, found: messages.Found
+        self, member: members_module.Member, found: messages.FindResponse
     ) -> None:
         """Take note of a VM's response on its offline programs."""
-        if not found.knows_homes:
+        if not found.may_have_offline_charges:
             self._without_offline.add(member.incarnation)
 
     def note_finding(
@@ -103,7 +103,11 @@
     ) -> None:
         """Take note of the combined responses for a program."""
         has_all_answers = forwarding.Doubt.VM_UNHEARD not in finding.doubts
-        if has_all_answers and not finding.unsettled and not finding.home_left:
+        if (
+            has_all_answers
+            and not finding.unsettled
+            and not finding.offline_tokens_left
+        ):
             self._leases.note_settled(program)
             if len(self._settled) < MAX_SETTLED_PROGRAMS:
                 self._settled[program] = None
@@ -135,7 +139,7 @@
     @property
     def _is_new(self) -> bool:
         uptime = self._now() - self._started_at
-        return uptime < STARTUP_SECONDS and not self._is_complete()
+        return uptime < STARTUP_SECONDS and not self._has_all_recent_turns()
 
     def _may_have_offline(
         self, listed: Iterable[members_module.Member]
--- a/postspring/peering/sightings.py
+++ b/postspring/peering/suspicion_exchange.py
@@ -14,7 +14,7 @@
 __all__ = ["SuspicionExchange"]
 
 # Incarnation, age in seconds, broken calls; see messages.LoadsReport.
-PackedSighting = tuple[str, float, int]
+PackedObservation = tuple[str, float, int]
 # Incarnation, and seconds since calls last broke there.
 Suspect = tuple[str, float]
 
@@ -36,22 +36,26 @@
     ):
         self._directory = directory
         self._now = now
-        self._board = upstreams.SuspicionBoard()
-        self._unforwarded: list[PackedSighting] = []
+        self._detector = upstreams.FailureDetector()
+        self._unforwarded: list[PackedObservation] = []
 
     # -- of this VM -----------------------------------------------------------
 
-    def take_own(self) -> list[PackedSighting]:
+    def take_own(self) -> list[PackedObservation]:
         """Return this VM's observations that it has not reported yet."""
         now = self._now()
-        found: list[PackedSighting] = []
+        found: list[PackedObservation] = []
         for upstream in self._directory.by_id.values():
-            if upstream.untold_breaks:
+            if upstream.unreported_broken_calls:
                 age = now - upstream.broken_at
                 found.append(
-                    (upstream.incarnation, age, upstream.untold_breaks)
+                    (
+                        upstream.incarnation,
+                        age,
+                        upstream.unreported_broken_calls,
+                    )
                 )
-                upstream.untold_breaks = 0
+                upstream.unreported_broken_calls = 0
             elif upstream.contradicts_suspicion:
                 age = now - upstream.answered_at
                 found.append((upstream.incarnation, age, 0))
@@ -66,17 +70,17 @@
             if age is not None:
                 upstream.suspect(now - age)
             else:
-                upstream.trust()
+                upstream.clear_suspicion()
 
     # -- of the collector -----------------------------------------------------
 
     def collect(
-        self, sightings: Iterable[PackedSighting], is_data_center: bool
+        self, observations: Iterable[PackedObservation], is_data_center: bool
     ) -> None:
         """Add the observations of a VM, or those forwarded by a collector."""
         now = self._now()
-        for packed in sightings:
-            self._board.take(upstreams.Sighting(*packed), now)
+        for packed in observations:
+            self._detector.add(upstreams.UpstreamObservation(*packed), now)
             if not is_data_center:
                 self._unforwarded.append(packed)
 
@@ -85,10 +89,10 @@
         now = self._now()
         return [
             (upstream, now - broken_at)
-            for upstream, broken_at in self._board.suspects(now).items()
+            for upstream, broken_at in self._detector.suspects(now).items()
         ]
 
-    def take_unforwarded(self) -> list[PackedSighting]:
+    def take_unforwarded(self) -> list[PackedObservation]:
         """Return what VMs of this data centre reported since the last call."""
         found, self._unforwarded = self._unforwarded, []
         return found
--- a/postspring/peering/tests/test_after_restart.py
+++ b/postspring/peering/tests/test_after_restart.py
@@ -11,7 +11,7 @@
 from postspring import forwarding
 from postspring import histories
 from postspring.peering import messages
-from postspring.peering.tests import test_questions
+from postspring.peering.tests import test_queries
 
 ANSWER_SECONDS = 0.005
 PROGRAMS_PER_SECOND = 40
@@ -42,13 +42,13 @@
             )
             return
         has_offline = name in self.offline_vms
-        found = messages.Found(
+        found = messages.FindResponse(
             False,
             False,
             False,
             False,
             unsettled=self.unsettled if has_offline else [],
-            knows_homes=has_offline,
+            may_have_offline_charges=has_offline,
         )
 
         def answer():
@@ -59,20 +59,22 @@
         self._clock.call_later(ANSWER_SECONDS, answer)
 
 
-class AfterRestartCase(test_questions.QueryCase):
+class AfterRestartCase(test_queries.QueryCase):
     """One VM of 60 that has just started."""
 
     def setUp(self):
         super().setUp()
         self.http = self.client._http = PeerHttp(self.clock)
-        self.client._is_complete = lambda: False
+        self.client._has_all_recent_turns = lambda: False
 
     def query_new_programs(self, seconds):
         """Query for new programs that may be unsettled; return findings."""
         before = len(self.findings)
         for number in range(round(seconds * PROGRAMS_PER_SECOND)):
             program = f"p{self.clock.now}-{number}"
-            if self.client.may_owe(histories.ProgramId(program)):
+            if self.client.may_have_uncharged_turns(
+                histories.ProgramId(program)
+            ):
                 self.query(program)
             self.clock.run_for(1 / PROGRAMS_PER_SECOND)
         return self.findings[before:]
@@ -94,7 +96,7 @@
 
     def test_each_vm_is_queried_once(self):
         self.query_new_programs(STARTUP_SECONDS)
-        others = test_questions.VMS - 1
+        others = test_queries.VMS - 1
         self.assertEqual(others, len(self.http.asked))
         self.assertEqual(others, len(set(self.http.asked)))
 
@@ -104,7 +106,7 @@
         self.clock.run_for(1.0)
         self.assertEqual(20, len(self.findings))
         self.assertFalse(any(item.is_refused for item in self.findings))
-        self.assertEqual(test_questions.VMS - 1, len(self.http.asked))
+        self.assertEqual(test_queries.VMS - 1, len(self.http.asked))
 
 
 class SomeOfflineProgramsTest(AfterRestartCase):
@@ -127,19 +129,25 @@
         self.clock.run_for(2.0)
         self.http.silent.clear()
         self.http.asked.clear()
-        self.assertTrue(self.client.may_owe(histories.ProgramId("q")))
+        self.assertTrue(
+            self.client.may_have_uncharged_turns(histories.ProgramId("q"))
+        )
         self.query("q")
         self.clock.run_for(1.0)
         self.assertEqual(["vm7"], self.http.asked)
-        self.assertFalse(self.client.may_owe(histories.ProgramId("r")))
+        self.assertFalse(
+            self.client.may_have_uncharged_turns(histories.ProgramId("r"))
+        )
 
     def test_new_vm_is_queried(self):
         self.query("p")
         self.clock.run_for(1.0)
         self.http.asked.clear()
         members = self.client._members
-        members.listed = [*members.listed, test_questions.member(99)]
-        self.assertTrue(self.client.may_owe(histories.ProgramId("q")))
+        members.listed = [*members.listed, test_queries.member(99)]
+        self.assertTrue(
+            self.client.may_have_uncharged_turns(histories.ProgramId("q"))
+        )
         self.query("q")
         self.assertEqual(["vm99"], self.http.asked)
 
@@ -148,6 +156,8 @@
         self.clock.run_for(1.0)
         self.http.asked.clear()
         self.leases.note_request("q", "vm9/1")
-        self.assertTrue(self.client.may_owe(histories.ProgramId("q")))
+        self.assertTrue(
+            self.client.may_have_uncharged_turns(histories.ProgramId("q"))
+        )
         self.query("q")
-        self.assertEqual(test_questions.VMS - 1, len(self.http.asked))
+        self.assertEqual(test_queries.VMS - 1, len(self.http.asked))
--- a/postspring/peering/tests/test_failover.py
+++ b/postspring/peering/tests/test_failover.py
@@ -29,7 +29,7 @@
             lambda member: self.helper_log,
             lambda: [member],
             timers,
-            lambda: self.changes.append(self.log.is_direct),
+            lambda: self.changes.append(self.log.has_direct_path),
         )
 
     def append(self, place=PLACE):
@@ -61,7 +61,7 @@
         helper_calls = len(self.helper_log.calls)
         for _ in range(10):
             self.append()
-        self.assertTrue(self.log.is_direct)
+        self.assertTrue(self.log.has_direct_path)
         self.assertEqual(helper_calls, len(self.helper_log.calls))
 
     def test_slow_log_stops_responding(self):
@@ -83,10 +83,10 @@
         for _ in range(4):
             self.append()
             self.clock.run_for(0.6)
-        self.assertFalse(self.log.is_direct)
+        self.assertFalse(self.log.has_direct_path)
         self.direct.faults.down = False
         self.append()
-        self.assertTrue(self.log.is_direct)
+        self.assertTrue(self.log.has_direct_path)
         self.clock.run_for(0.1)
         self.assertEqual([False, True], self.changes)
 
@@ -96,7 +96,7 @@
         self.assertIsInstance(self.append(), keyedlog.LogUnavailable)
         helper_calls = len(self.helper_log.calls)
         self.append(OTHER)
-        self.assertTrue(self.log.is_direct)
+        self.assertTrue(self.log.has_direct_path)
         self.assertEqual(helper_calls, len(self.helper_log.calls))
 
     def test_silent_partition_delays_calls_briefly(self):
@@ -199,7 +199,7 @@
         self.direct.faults.busy = 5
         for _ in range(5):
             self.assertIsInstance(self.append(), keyedlog.LogBusy)
-        self.assertTrue(self.log.is_direct)
+        self.assertTrue(self.log.has_direct_path)
         self.assertEqual([], self.helper_log.calls)
 
     def test_busy_log_is_not_down(self):
@@ -246,7 +246,7 @@
         self.log.read(PLACE, 0, outcomes.append, outcomes.append)
         self.clock.run_until(lambda: outcomes, 5)
         self.assertIsInstance(outcomes[0], keyedlog.LogExpired)
-        self.assertTrue(self.log.is_direct)
+        self.assertTrue(self.log.has_direct_path)
 
 
 class ManyHelpersTest(unittest.TestCase):
@@ -314,7 +314,7 @@
         self.take_down("h0")
         for partition in range(4):
             self.append(partition)
-        self.assertFalse(self.log.is_direct)
+        self.assertFalse(self.log.has_direct_path)
         for round_number in range(3):
             self.clock.run_for(1.0)
             ends = [self.begin(100 + 10 * round_number + n) for n in range(5)]
--- a/postspring/peering/tests/test_lost_answers.py
+++ b/postspring/peering/tests/test_lost_responses.py
@@ -44,7 +44,7 @@
         for number in range(3):
             self.append(place(number))
         self.clock.run_for(1.0)
-        self.assertFalse(self.log.is_direct)
+        self.assertFalse(self.log.has_direct_path)
         before = len(self.direct.calls)
         waits = []
         for number in range(PARTITIONS):
--- a/postspring/peering/tests/test_members.py
+++ b/postspring/peering/tests/test_members.py
@@ -39,19 +39,19 @@
     def test_listed_vms_are_counted(self):
         lists = [self.start_members(f"vm{number}") for number in range(5)]
         self.clock.run_for(6.0)
-        self.assertEqual([5] * 5, [members.sharers for members in lists])
+        self.assertEqual([5] * 5, [members.vm_count for members in lists])
 
     def test_many_vms_are_assumed_before_the_first_read(self):
         members = self.start_members("vm", down=True)
         self.clock.run_for(6.0)
-        self.assertGreaterEqual(members.sharers, 64)
+        self.assertGreaterEqual(members.vm_count, 64)
 
     def test_count_is_kept_during_an_outage(self):
         lists = [self.start_members(f"vm{number}") for number in range(5)]
         self.clock.run_for(6.0)
         lists[0]._log.faults.down = True
         self.clock.run_for(6.0)
-        self.assertEqual(5, lists[0].sharers)
+        self.assertEqual(5, lists[0].vm_count)
 
 
 class AbsentTest(MembersCase):
