--- a/postspring/peering/tests/test_messages.py
+++ b/postspring/peering/tests/test_messages.py
@@ -12,9 +12,9 @@
 
 TYPES = (
     messages.FindRequest,
-    messages.Found,
-    messages.KeepRequest,
-    messages.View,
+    messages.FindResponse,
+    messages.StoreReplicasRequest,
+    messages.ViewResponse,
     messages.ViewRequest,
 )
 
@@ -33,10 +33,10 @@
     def test_field_of_the_wrong_type(self):
         # Such a message once led to status 500 and a traceback in the log.
         wrong = (
-            (messages.KeepRequest, [["text"]]),
+            (messages.StoreReplicasRequest, [["text"]]),
             (messages.FindRequest, ["vm", "p", None, "8"]),
-            (messages.Found, [1, True, False, True]),
-            (messages.View, [[["key"]], 3]),
+            (messages.FindResponse, [1, True, False, True]),
+            (messages.ViewResponse, [[["key"]], 3]),
             (messages.ViewRequest, ["members", "vm", "entry"]),
         )
         for cls, values in wrong:
--- a/postspring/peering/tests/test_late_answers.py
+++ b/postspring/peering/tests/test_paused_vm.py
@@ -54,7 +54,7 @@
         client = peering.PeerClient(
             http,
             members,
-            peering.Promises("a", timers.now),
+            peering.ProgramLeases("a", timers.now),
             lambda: True,
             None,
             timers,
@@ -63,9 +63,11 @@
         facts = forwarding.CallFacts(
             "r", program=histories.ProgramId("p"), ceiling=10
         )
-        client.find(facts, found.append, forwarding.Question.HOME)
+        client.find(facts, found.append, forwarding.Question.OFFLINE)
         clock.run_for(seconds)
-        answer = messages.encode(messages.Found(False, False, False, True))
+        answer = messages.encode(
+            messages.FindResponse(False, False, False, True)
+        )
         (collector,) = http.collectors
         collector.head(200, {})
         collector.data(answer)
--- a/postspring/peering/tests/test_questions.py
+++ b/postspring/peering/tests/test_queries.py
@@ -13,8 +13,8 @@
 from postspring import forwarding
 from postspring import histories
 from postspring import peering
-from postspring.peering import message_budget
 from postspring.peering import messages
+from postspring.peering import rate_limiter
 from postspring.testing.virtual import clock as clock_module
 
 VMS = 60
@@ -40,7 +40,7 @@
         """Respond at once."""
         self.sent += 1
         is_taker = request.address[0] == self.taker
-        found = messages.Found(is_taker, is_taker, is_taker, True)
+        found = messages.FindResponse(is_taker, is_taker, is_taker, True)
         collector.head(200, {})
         collector.data(messages.encode(found))
         collector.end()
@@ -62,13 +62,13 @@
             is_announced=True,
             own_entry=b"",
         )
-        self.leases = peering.Promises("vm0", timers.now)
+        self.leases = peering.ProgramLeases("vm0", timers.now)
         self.client = peering.PeerClient(
             self.http, members, self.leases, lambda: True, None, timers
         )
         self.findings = []
 
-    def ask(self, program, question=forwarding.Question.HOME):
+    def ask(self, program, question=forwarding.Question.OFFLINE):
         """Ask about a turn of a program; return the finding."""
         facts = forwarding.CallFacts(
             "r", program=histories.ProgramId(program), ceiling=10
@@ -85,8 +85,8 @@
             self.ask(f"p{number}")
             self.clock.run_for(1 / TURNS_PER_SECOND)
         most = (
-            message_budget.MAX_BURST_MESSAGES
-            + SECONDS * message_budget.MESSAGES_PER_SECOND
+            rate_limiter.MAX_BURST_MESSAGES
+            + SECONDS * rate_limiter.MESSAGES_PER_SECOND
         )
         self.assertLessEqual(self.http.sent, most)
         self.assertTrue(any(item.is_refused for item in self.findings))
@@ -96,7 +96,7 @@
             pass
         finding = self.findings[-1]
         self.assertFalse(finding.is_answered)
-        self.assertFalse(finding.knows_all)
+        self.assertFalse(finding.covers_all_spending)
 
     def test_small_fleet_is_not_limited(self):
         """Eleven VMs send all the queries they need."""
@@ -120,7 +120,7 @@
         self.assertEqual(1, self.http.sent)
 
     def test_all_are_asked_if_it_can_not_run_the_turn(self):
-        self.ask("p", forwarding.Question.HOME)
+        self.ask("p", forwarding.Question.OFFLINE)
         self.assertEqual(VMS - 1, self.http.sent)
 
 
@@ -128,14 +128,16 @@
     """A VM that has just started, when no VM has offline programs."""
 
     def test_asks_once_for_a_program(self):
-        self.client._is_complete = lambda: False
+        self.client._has_all_recent_turns = lambda: False
         program = histories.ProgramId("p")
-        self.assertTrue(self.client.may_owe(program))
+        self.assertTrue(self.client.may_have_uncharged_turns(program))
         self.ask("p", forwarding.Question.UNSETTLED)
-        self.assertFalse(self.client.may_owe(program))
+        self.assertFalse(self.client.may_have_uncharged_turns(program))
 
     def test_asks_again_after_an_offline_request(self):
-        self.client._is_complete = lambda: False
+        self.client._has_all_recent_turns = lambda: False
         self.ask("p", forwarding.Question.UNSETTLED)
         self.leases.note_request("p", "vm9/1")
-        self.assertTrue(self.client.may_owe(histories.ProgramId("p")))
+        self.assertTrue(
+            self.client.may_have_uncharged_turns(histories.ProgramId("p"))
+        )
--- a/postspring/peering/tests/test_search.py
+++ b/postspring/peering/tests/test_search.py
@@ -34,13 +34,13 @@
         self.asked += vms
         return True
 
-    def answer(self, vm, can_take=False):
+    def answer(self, vm, can_run=False):
         """Let a VM respond."""
-        found = messages.Found(can_take, can_take, can_take, True)
+        found = messages.FindResponse(can_run, can_run, can_run, True)
         self.search.answered(vm, found)
 
     def test_taker_nearby_ends_the_search(self):
-        self.answer(self.near[0], can_take=True)
+        self.answer(self.near[0], can_run=True)
         self.answer(self.near[1])
         self.assertEqual(self.near, self.asked)
         self.assertEqual(1, len(self.done))
@@ -81,7 +81,9 @@
         )
         refused.start()
         for vm in self.near:
-            refused.answered(vm, messages.Found(False, False, False, True))
+            refused.answered(
+                vm, messages.FindResponse(False, False, False, True)
+            )
         finding = refused.finding(member("own", "z1"), True)
         self.assertFalse(finding.is_answered)
         self.assertFalse(finding.is_certain)
--- a/postspring/peers/__init__.py
+++ b/postspring/peers/__init__.py
@@ -6,15 +6,15 @@
 from postspring.peers.messages import ConfigurationRequest
 from postspring.peers.messages import GatherRows
 from postspring.peers.messages import Heartbeat
-from postspring.peers.messages import HoldTurns
 from postspring.peers.messages import LogFailed
 from postspring.peers.messages import peer_messages
 from postspring.peers.messages import ReadRecords
 from postspring.peers.messages import RecordsAppended
 from postspring.peers.messages import RecordsRead
+from postspring.peers.messages import ReplicateTurns
 from postspring.peers.messages import RowsGathered
 from postspring.peers.messages import StopAttempt
-from postspring.peers.messages import TurnsHeld
+from postspring.peers.messages import TurnsReplicated
 
 __all__ = [
     "AppendRecords",
@@ -22,14 +22,14 @@
     "ConfigurationRequest",
     "GatherRows",
     "Heartbeat",
-    "HoldTurns",
     "LogFailed",
     "PeerHub",
     "ReadRecords",
     "RecordsAppended",
     "RecordsRead",
+    "ReplicateTurns",
     "RowsGathered",
     "StopAttempt",
-    "TurnsHeld",
+    "TurnsReplicated",
     "peer_messages",
 ]
--- a/postspring/peers/hub.py
+++ b/postspring/peers/hub.py
@@ -135,7 +135,7 @@
             self._heartbeat_timer.cancel()
         for peer in self._peer_by_vm.values():
             if peer.link is not None:
-                peer.link.shut()
+                peer.link.close_when_sent()
 
     def replace_peers(self, address_by_vm: dict[str, tuple]) -> None:
         """Set the peers; close the links that this VM opened to others."""
@@ -144,7 +144,7 @@
             if address_by_vm.get(vm) != peer.address:
                 del self._peer_by_vm[vm]
                 if peer.link is not None:
-                    peer.link.shut()
+                    peer.link.close_when_sent()
                 self._fail_requests_to(vm, "no longer listed")
         for vm, address in address_by_vm.items():
             if vm not in self._peer_by_vm:
@@ -267,7 +267,7 @@
     def _on_link_open(self, peer_link: link.PeerLink) -> None:
         peer = self._peer_by_vm.get(self._vm_by_link.get(peer_link, ""))
         if peer is None or peer.link is not peer_link:
-            peer_link.shut()
+            peer_link.close_when_sent()
             return
         peer.dialling = False
         peer.last_heard = self._timers.now()
@@ -362,13 +362,13 @@
                 self._dial(peer)
             elif not peer.link.is_open:
                 if now - peer.dialled_at > self._silence_timeout:
-                    peer.link.shut()
+                    peer.link.close_when_sent()
             elif now - peer.last_heard > self._silence_timeout:
                 LOG.warning(
                     "closing the link to peer %s: no heartbeat answered",
                     peer.vm,
                 )
-                peer.link.shut()
+                peer.link.close_when_sent()
             else:
                 self._send_heartbeat(peer)
 
--- a/postspring/peers/link.py
+++ b/postspring/peers/link.py
@@ -107,7 +107,7 @@
         if not self.is_open:
             raise errors.PeerError("link is not open")
         if self._hub.unsent_bytes(self._socket) > MAX_UNSENT_BYTES:
-            self.shut()
+            self.close_when_sent()
             raise errors.PeerError("too many unsent bytes on the link")
         packed = messages.peer_messages.pack(message)
         frame = cbor2.dumps(
@@ -116,9 +116,9 @@
         self._protocol.send_binary(frame)
         self._flush()
 
-    def shut(self) -> None:
+    def close_when_sent(self) -> None:
         """Close the link."""
-        self._hub.shut(self._socket)
+        self._hub.close_when_sent(self._socket)
 
     # -- called by the hub ----------------------------------------------------
 
@@ -129,7 +129,7 @@
         for event in self._protocol.events_received():
             self._handle_event(event)
         if self._protocol.close_expected():
-            self.shut()
+            self.close_when_sent()
 
     def closed(self) -> None:
         """Mark the link closed and report it."""
@@ -156,12 +156,12 @@
             self._protocol.send_response(response)
             self._flush()
             self.close_reason = "wrong key"
-            self.shut()
+            self.close_when_sent()
             return
         try:
             response = self._protocol.accept(request)
         except exceptions.InvalidHandshake:
-            self.shut()
+            self.close_when_sent()
             return
         self.peer_vm = request.headers.get(VM_HEADER, "")
         self._protocol.send_response(response)
@@ -184,7 +184,7 @@
             RecursionError,
         ) as error:
             self.close_reason = str(error)[:200]
-            self.shut()
+            self.close_when_sent()
             return
         self._on_message(self, int(number), bool(is_reply), message)
 
--- a/postspring/peers/messages.py
+++ b/postspring/peers/messages.py
@@ -14,14 +14,14 @@
     "ConfigurationRequest",
     "GatherRows",
     "Heartbeat",
-    "HoldTurns",
     "LogFailed",
     "ReadRecords",
     "RecordsAppended",
     "RecordsRead",
+    "ReplicateTurns",
     "RowsGathered",
     "StopAttempt",
-    "TurnsHeld",
+    "TurnsReplicated",
     "peer_messages",
 ]
 
@@ -66,7 +66,7 @@
 
 @peer_messages.register("hold_turns")
 @codec.message()
-class HoldTurns:
+class ReplicateTurns:
     """Replicate turns not in the log yet; the peer is to append them."""
 
     turns: tuple[ownership.Turn, ...]
@@ -74,7 +74,7 @@
 
 @peer_messages.register("turns_held")
 @codec.message()
-class TurnsHeld:
+class TurnsReplicated:
     """Reply: the number of turns that the peer accepted."""
 
     taken: int
--- a/postspring/peers/tests/test_hub.py
+++ b/postspring/peers/tests/test_hub.py
@@ -78,9 +78,9 @@
         """Close both hubs."""
         for vm in (self.first, self.second):
             vm.hub.close()
-            vm.hub.sockets.refuse_new()
+            vm.hub.sockets.stop_accepting()
 
-    def turn_until(self, condition):
+    def run_loop_until(self, condition):
         """Run the loops of the running VMs until a condition holds."""
         for _ in range(2000):
             if condition():
@@ -102,7 +102,7 @@
 
     def test_reply_reaches_the_requester(self):
         self.request_second()
-        self.turn_until(lambda: self.replies)
+        self.run_loop_until(lambda: self.replies)
         self.assertEqual("vm-1", self.replies[0].program)
 
     def test_large_request_arrives_unchanged(self):
@@ -115,13 +115,13 @@
             step=1,
         )
         self.request_second(request)
-        self.turn_until(lambda: self.replies)
+        self.run_loop_until(lambda: self.replies)
         self.assertEqual(request, self.second.requests[0][1])
 
     def test_timeout_error_says_sent(self):
         self.second.replies_to_requests = False
         self.request_second(timeout=0.1)
-        self.turn_until(lambda: self.errors)
+        self.run_loop_until(lambda: self.errors)
         self.assertTrue(self.errors[0].sent)
 
     def test_unknown_vm_error_says_not_sent(self):
@@ -132,13 +132,13 @@
             self.replies.append,
             self.errors.append,
         )
-        self.turn_until(lambda: self.errors)
+        self.run_loop_until(lambda: self.errors)
         self.assertFalse(self.errors[0].sent)
 
     def test_refused_connection_error_says_not_sent(self):
-        self.second.hub.sockets.refuse_new()
+        self.second.hub.sockets.stop_accepting()
         self.request_second()
-        self.turn_until(lambda: self.errors)
+        self.run_loop_until(lambda: self.errors)
         self.assertFalse(self.errors[0].sent)
 
 
@@ -146,19 +146,19 @@
     """A peer whose process is frozen: its loop does not run."""
 
     def test_frozen_vm_is_lost_and_responsive_after_thaw(self):
-        self.turn_until(lambda: self.first.hub.is_connected("vm-2"))
-        self.turn_until(lambda: self.first.hub.responsive("vm-2"))
+        self.run_loop_until(lambda: self.first.hub.is_connected("vm-2"))
+        self.run_loop_until(lambda: self.first.hub.responsive("vm-2"))
         self.running_vms = [self.first]
-        self.turn_until(lambda: self.first.lost)
+        self.run_loop_until(lambda: self.first.lost)
         self.assertFalse(self.first.hub.responsive("vm-2"))
         self.running_vms = [self.first, self.second]
-        self.turn_until(lambda: self.first.hub.responsive("vm-2"))
+        self.run_loop_until(lambda: self.first.hub.responsive("vm-2"))
 
     def test_pending_request_fails_when_vm_is_lost(self):
-        self.turn_until(lambda: self.first.hub.is_connected("vm-2"))
+        self.run_loop_until(lambda: self.first.hub.is_connected("vm-2"))
         self.running_vms = [self.first]
         self.request_second(timeout=60)
-        self.turn_until(lambda: self.errors)
+        self.run_loop_until(lambda: self.errors)
         self.assertTrue(self.errors[0].sent)
 
 
@@ -178,10 +178,10 @@
             failures.append,
         )
         with self.assertLogs("postspring.peers.hub", "WARNING"):
-            self.turn_until(lambda: failures)
+            self.run_loop_until(lambda: failures)
         self.assertEqual([], self.second.requests)
         intruder.hub.close()
-        intruder.hub.sockets.refuse_new()
+        intruder.hub.sockets.stop_accepting()
 
     def send_frame(self, data):
         """Send a frame on a link with the right key; return the log line."""
@@ -215,7 +215,7 @@
             self.second.address, 1.0, on_open, self.errors.append
         )
         with self.assertLogs("postspring.peers.hub", "WARNING") as logs:
-            self.turn_until(lambda: closed)
+            self.run_loop_until(lambda: closed)
         return logs.output[0]
 
     def test_unknown_protocol_version_closes_the_link(self):
--- a/postspring/platform/documents.py
+++ b/postspring/platform/documents.py
@@ -186,7 +186,7 @@
 
 def _address(text: str) -> tuple[str, int]:
     """Return the IPv4 address and port that an upstream listens on."""
-    host, port = settings.split_address(text)
+    host, port = settings.parse_address(text)
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError as error:
--- a/postspring/platform/headers.py
+++ b/postspring/platform/headers.py
@@ -72,7 +72,7 @@
             program_deadline=_parse_milliseconds(
                 header(names.PROGRAM_DEADLINE_MS)
             ),
-            budget=transport.integer_in(header(names.TOKEN_BUDGET)),
+            budget=transport.parse_integer(header(names.TOKEN_BUDGET)),
             previous=histories.TurnId(previous) if previous else None,
         )
 
@@ -113,9 +113,9 @@
             forwarded.append((names.EXPECTED_VERSION, extra.weights))
         return forwarded
 
-    def decode_answer(self, status: int, headers: dict[str, str]):
+    def decode_response(self, status: int, headers: dict[str, str]):
         """Return the content of a response's headers, names in lower case."""
-        return forwarding.AnswerFacts(
+        return forwarding.ResponseFacts(
             request=headers.get(names.REQUEST_ID.lower(), ""),
             not_run=(names.NOT_EXECUTED.lower() in headers or status == 421),
             wrong_upstream=status == 421,
@@ -137,7 +137,9 @@
         for line in event.splitlines():
             name, _, value = line.partition(b":")
             if name == _EVENT_ID:
-                number = transport.integer_in(value.strip().decode("latin-1"))
+                number = transport.parse_integer(
+                    value.strip().decode("latin-1")
+                )
             elif name == _EVENT_WEIGHTS:
                 weights = value.strip().decode("latin-1")
         return forwarding.EventFacts(number, weights)
@@ -192,9 +194,9 @@
 
 def _parse_integer_pair(text: str) -> tuple[int, int]:
     first, _, second = text.partition(",")
-    return transport.integer_in(first.strip()) or 0, transport.integer_in(
-        second.strip()
-    ) or 0
+    return transport.parse_integer(
+        first.strip()
+    ) or 0, transport.parse_integer(second.strip()) or 0
 
 
 def _parse_prompt_parts(text: str) -> tuple[tuple[str, int], ...]:
@@ -202,7 +204,7 @@
     parts = []
     for item in text.split(","):
         part, _, text = item.strip().rpartition(":")
-        tokens = transport.integer_in(text)
+        tokens = transport.parse_integer(text)
         if part and tokens is not None:
             parts.append((part, tokens))
     return tuple(parts)
--- a/postspring/platform/settings.py
+++ b/postspring/platform/settings.py
@@ -116,17 +116,17 @@
     return VmSettings(
         vm=str(raw["node_name"]),
         data_center=str(raw["zone"]),
-        callers=split_address(listen["front"]),
-        readiness=split_address(listen["ready"]),
-        store=split_address(store["address"]),
+        callers=parse_address(listen["front"]),
+        readiness=parse_address(listen["ready"]),
+        store=parse_address(store["address"]),
         partitions=int(store["parts"]),
         record_bytes=int(store["record_bytes"]),
         # the seeds name the VMs' control addresses, so VMs listen there
-        peers=split_address(listen["control"]),
+        peers=parse_address(listen["control"]),
         drain=float(bounds["drain_ms"]) / 1000,
         configuration=float(bounds["config_ms"]) / 1000,
         grace=float(bounds["grace_s"]),
-        seeds=tuple(split_address(seed) for seed in raw.get("seeds") or ()),
+        seeds=tuple(parse_address(seed) for seed in raw.get("seeds") or ()),
         store_writes=float(store.get("writes_per_s") or 800.0),
         memory_mb=int(limits.get("memory_mb") or 0),
         max_files=int(limits.get("max_fds") or 0),
@@ -145,12 +145,12 @@
     return float(bounds["revoke_ms"]) / 1000
 
 
-def split_address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Split ``IP:PORT`` into host and port.
 
     Examples
     --------
-    >>> split_address("10.1.0.38:8149")
+    >>> parse_address("10.1.0.38:8149")
     ('10.1.0.38', 8149)
     """
     host, separator, port = text.rpartition(":")
--- a/postspring/platform/store.py
+++ b/postspring/platform/store.py
@@ -124,7 +124,7 @@
         self._partitions = partitions
         self._on_call = on_call
 
-    def move_to(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Send all further calls to another address."""
         self._address = address
 
@@ -191,7 +191,7 @@
             on_error,
         )
 
-    def pass_on(
+    def relay_call(
         self,
         method: str,
         path: str,
@@ -200,7 +200,7 @@
     ) -> None:
         """Relay a call of another VM; status 502 if there is no response."""
         request = self._request(method, path, READ_TIMEOUT_SECONDS, body)
-        collector = transport.AnswerCollector(
+        collector = transport.ResponseCollector(
             on_response, lambda error: on_response(BAD_GATEWAY, b"")
         )
         self._http.send(request, collector)
@@ -272,7 +272,8 @@
             report_error(keyedlog.LogUnavailable(reason))
 
         self._http.send(
-            request, transport.AnswerCollector(on_response, on_transport_error)
+            request,
+            transport.ResponseCollector(on_response, on_transport_error),
         )
 
 
--- a/postspring/platform/tests/test_decoders.py
+++ b/postspring/platform/tests/test_decoders.py
@@ -112,11 +112,11 @@
 
     TYPES = (
         messages.FindRequest,
-        messages.Found,
-        messages.KeepRequest,
-        messages.Loads,
+        messages.FindResponse,
+        messages.StoreReplicasRequest,
+        messages.LoadsResponse,
         messages.LoadsReport,
-        messages.View,
+        messages.ViewResponse,
         messages.ViewRequest,
     )
 
@@ -157,7 +157,7 @@
         data = b"\x81" * DEEP_NESTING + b"\x00"
         members._decode(keyedlog.LogEntry("vm", data))
         self.assert_only_raises(
-            errors.PeerError, messages.decode, messages.Found, data
+            errors.PeerError, messages.decode, messages.FindResponse, data
         )
         self.assert_only_raises(
             histories.MalformedRecord, histories.decode_record, data
@@ -171,7 +171,7 @@
     def test_calls_and_responses(self, text):
         wire = platform.PlatformWireFormat()
         wire.decode_call(lambda name: text)
-        wire.decode_answer(200, {names.WEIGHT_VERSIONS.lower(): text})
+        wire.decode_response(200, {names.WEIGHT_VERSIONS.lower(): text})
 
     def test_invalid_numbers(self):
         wire = platform.PlatformWireFormat()
--- a/postspring/platform/tests/test_headers.py
+++ b/postspring/platform/tests/test_headers.py
@@ -82,7 +82,7 @@
         self.assertEqual([], self.wire.caller_fields(fields, False))
 
     def test_not_executed(self):
-        decode = self.wire.decode_answer
+        decode = self.wire.decode_response
         header = {names.NOT_EXECUTED.lower(): "1"}
         self.assertTrue(decode(503, header).not_run)
         self.assertTrue(decode(421, {}).not_run)
--- a/postspring/quotas/dealer.py
+++ b/postspring/quotas/allocator.py
@@ -16,7 +16,7 @@
 from postspring.quotas import window as window_module
 from postspring import workspaces
 
-__all__ = ["Deal", "DealState", "Dealer", "Use"]
+__all__ = ["PermitDecision", "PermitState", "PermitUse", "QuotaAllocator"]
 
 # For this long after a VM joined the list of VMs, it grants permits only if no
 # allocator is ready.  VMs read the list every 5 s: until all of them have,
@@ -36,11 +36,11 @@
 IDLE_SECONDS = 1.0
 
 
-class Use(enum.Enum):
+class PermitUse(enum.Enum):
     """The purpose of a request; its value is sent to other VMs."""
 
     BEGINS_PROGRAM = "begins_program"
-    GOES_ON = "goes_on"
+    CONTINUES_PROGRAM = "goes_on"
     PLAIN_CALL = "plain_call"
 
 
@@ -49,13 +49,13 @@
 # Callers retry turns for longer than calls of tools, which end their program
 # when they are refused twice.
 RESERVED_SHARE_BY_USE = {
-    Use.BEGINS_PROGRAM: 0.2,
-    Use.GOES_ON: 0.1,
-    Use.PLAIN_CALL: 0.0,
+    PermitUse.BEGINS_PROGRAM: 0.2,
+    PermitUse.CONTINUES_PROGRAM: 0.1,
+    PermitUse.PLAIN_CALL: 0.0,
 }
 
 
-class DealState(enum.Enum):
+class PermitState(enum.Enum):
     """The result of a request for a permit."""
 
     GRANTED = "granted"
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Deal:
+class PermitDecision:
     """Answer to a request for a permit.
 
     Parameters
@@ -76,7 +76,7 @@
         Seconds after which a permit may be available.
     """
 
-    state: DealState
+    state: PermitState
     wait: float = 0.0
 
 
@@ -106,7 +106,7 @@
     granted: int = 0
 
 
-class Dealer:
+class QuotaAllocator:
     """Grants the permits that this VM allocates, without I/O or a clock.
 
     Parameters
@@ -126,11 +126,13 @@
 
     >>> limit = workspaces.RateLimit(rate=1.0, burst=1.0)
     >>> acme = workspaces.Workspace("acme", limit=limit)
-    >>> dealer = Dealer(3, 5.0, lambda: 100.0, lambda: 60.0)
-    >>> dealer.ask(acme, Use.PLAIN_CALL, is_first=True, ages=[0.5]).state
-    <DealState.GRANTED: 'granted'>
-    >>> dealer.ask(acme, Use.PLAIN_CALL, is_first=True)
-    Deal(state=<DealState.REFUSED: 'refused'>, wait=4.5)
+    >>> allocator = QuotaAllocator(3, 5.0, lambda: 100.0, lambda: 60.0)
+    >>> allocator.request_permit(
+    ...     acme, PermitUse.PLAIN_CALL, is_first=True, ages=[0.5]
+    ... ).state
+    <PermitState.GRANTED: 'granted'>
+    >>> allocator.request_permit(acme, PermitUse.PLAIN_CALL, is_first=True)
+    PermitDecision(state=<PermitState.REFUSED: 'refused'>, wait=4.5)
     """
 
     def __init__(
@@ -154,21 +156,21 @@
         self._detect_pause()
         self._ticked_at = self._now()
 
-    def ask(
+    def request_permit(
         self,
         workspace: workspaces.Workspace,
-        use: Use,
+        use: PermitUse,
         is_first: bool,
-        insists: bool = False,
+        ignore_readiness: bool = False,
         ages: Sequence[float] = (),
-    ) -> Deal:
+    ) -> PermitDecision:
         """Request a permit for one call.
 
         Parameters
         ----------
         is_first : bool
             This VM is the workspace's first allocator by its list of VMs.
-        insists : bool
+        ignore_readiness : bool
             No allocator is ready: this one decides all the same.
         ages : sequence of float
             Ages in seconds of permits that other allocators of this data
@@ -177,10 +179,10 @@
         self._detect_pause()
         now = self._now()
         is_ready = self._is_ready(now)
-        if not insists and not is_ready:
-            return Deal(DealState.NOT_READY)
+        if not ignore_readiness and not is_ready:
+            return PermitDecision(PermitState.NOT_READY)
         if workspace.limit is None:
-            return Deal(DealState.GRANTED)
+            return PermitDecision(PermitState.GRANTED)
         usage = self._usage_of(workspace.name, is_first, now)
         usage.window.add(now - max(0.0, age) for age in ages)
         max_permits = self._max_permits(workspace.limit)
@@ -191,14 +193,16 @@
         )
         if usage.window.count(now) + 1 > max_permits:
             wait = usage.window.seconds_until(max_permits, now)
-            return Deal(DealState.REFUSED, wait)
+            return PermitDecision(PermitState.REFUSED, wait)
         if self._is_learning(usage, workspace.limit, now):
-            return Deal(DealState.REFUSED, self._parts / workspace.limit.rate)
+            return PermitDecision(
+                PermitState.REFUSED, self._parts / workspace.limit.rate
+            )
         usage.window.add([now])
         usage.granted += 1
-        return Deal(DealState.GRANTED)
+        return PermitDecision(PermitState.GRANTED)
 
-    def take_back(self, workspace: str) -> None:
+    def release_permit(self, workspace: str) -> None:
         """Release a permit whose call did not run and never will."""
         usage = self._usage_by_name.get(workspace)
         if usage is not None:
--- a/postspring/quotas/order.py
+++ b/postspring/quotas/allocator_selection.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-__all__ = ["dealers_of"]
+__all__ = ["allocators_of"]
 
 # The first allocates permits; the others replace it, in this order.
 MAX_ALLOCATORS = 3
@@ -20,7 +20,7 @@
 Vm = TypeVar("Vm", bound=_Vm)
 
 
-def dealers_of(
+def allocators_of(
     workspace: str, vms: Iterable[Vm], data_center: str
 ) -> list[Vm]:
     """Return a workspace's quota allocators in a data centre, first to last.
--- a/postspring/quotas/granted.py
+++ b/postspring/quotas/granted.py
@@ -26,7 +26,7 @@
     []
     >>> granted.ages("acme", "z1", "vm-b/1", now=11.0)
     [1.0]
-    >>> granted.note_told("acme", "z1", "vm-b/1")
+    >>> granted.mark_reported("acme", "z1", "vm-b/1")
     >>> granted.ages("acme", "z1", "vm-b/1", now=11.0)
     []
     """
@@ -39,37 +39,39 @@
         self._reported_by_part: dict[tuple[str, str], str] = {}
 
     def add(
-        self, workspace: str, data_center: str, dealer: str, now: float
+        self, workspace: str, data_center: str, allocator: str, now: float
     ) -> None:
-        """Add a permit; ``dealer`` is the incarnation of its allocator."""
+        """Add a permit; ``allocator`` is the incarnation of its allocator."""
         permits = self._by_part.setdefault(
             (workspace, data_center), collections.deque()
         )
-        permits.append((now, dealer))
+        permits.append((now, allocator))
         while permits[0][0] <= now - self._span:
             permits.popleft()
 
     def ages(
-        self, workspace: str, data_center: str, dealer: str, now: float
+        self, workspace: str, data_center: str, allocator: str, now: float
     ) -> list[float]:
         """Return the ages of permits not yet reported to an allocator."""
         key = (workspace, data_center)
-        if self._reported_by_part.get(key) == dealer:
+        if self._reported_by_part.get(key) == allocator:
             return []
         return [
             now - granted_at
             for granted_at, granted_by in self._by_part.get(key, ())
-            if granted_by != dealer and granted_at > now - self._span
+            if granted_by != allocator and granted_at > now - self._span
         ]
 
-    def remove(self, workspace: str, data_center: str, dealer: str) -> None:
+    def remove(self, workspace: str, data_center: str, allocator: str) -> None:
         """Remove one permit of an allocator, as its request did not run."""
         permits = self._by_part.get((workspace, data_center), ())
         for entry in reversed(permits):
-            if entry[1] == dealer:
+            if entry[1] == allocator:
                 permits.remove(entry)
                 return
 
-    def note_told(self, workspace: str, data_center: str, dealer: str) -> None:
+    def mark_reported(
+        self, workspace: str, data_center: str, allocator: str
+    ) -> None:
         """Record that the permits were reported to an allocator."""
-        self._reported_by_part[(workspace, data_center)] = dealer
+        self._reported_by_part[(workspace, data_center)] = allocator
--- a/postspring/quotas/tests/ways.py
+++ b/postspring/quotas/tests/limit_strategies.py
@@ -122,8 +122,8 @@
     def __init__(self, load, vms):
         super().__init__(load, vms)
         self._now = START_TIME
-        self._dealers = [
-            quotas.Dealer(
+        self._allocators = [
+            quotas.QuotaAllocator(
                 DATA_CENTERS, SPAN_SECONDS, lambda: self._now, lambda: 60.0
             )
             for _ in range(DATA_CENTERS)
@@ -135,20 +135,20 @@
         """Ask the allocator of the VM's own data centre first."""
         self._run_until(now)
         for offset in range(DATA_CENTERS):
-            dealer = self._dealers[(vm + offset) % DATA_CENTERS]
+            allocator = self._allocators[(vm + offset) % DATA_CENTERS]
             self.messages += 1
-            deal = dealer.ask(
-                self._workspace, quotas.Use.PLAIN_CALL, is_first=True
+            decision = allocator.request_permit(
+                self._workspace, quotas.PermitUse.PLAIN_CALL, is_first=True
             )
-            if deal.state is quotas.DealState.GRANTED:
+            if decision.state is quotas.PermitState.GRANTED:
                 return True
         return False
 
     def _run_until(self, now):
         while self._now < now:
             self._now = min(now, self._now + TICK_SECONDS)
-            for dealer in self._dealers:
-                dealer.tick()
+            for allocator in self._allocators:
+                allocator.tick()
 
 
 STRATEGIES = (EqualShares, ExchangedCounts, AllocatedPermits)
--- a/postspring/quotas/tests/test_dealer.py
+++ b/postspring/quotas/tests/test_allocator.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies
 
 from postspring import quotas
-from postspring.quotas import dealer as dealer_module
+from postspring.quotas import allocator as allocator_module
 from postspring import workspaces
 
-GRANTED = quotas.DealState.GRANTED
-REFUSED = quotas.DealState.REFUSED
-NOT_READY = quotas.DealState.NOT_READY
-BEGIN_PROGRAM = quotas.Use.BEGINS_PROGRAM
-TOOL_CALL = quotas.Use.PLAIN_CALL
+GRANTED = quotas.PermitState.GRANTED
+REFUSED = quotas.PermitState.REFUSED
+NOT_READY = quotas.PermitState.NOT_READY
+BEGIN_PROGRAM = quotas.PermitUse.BEGINS_PROGRAM
+TOOL_CALL = quotas.PermitUse.PLAIN_CALL
 # Window of the limit.
 SPAN_SECONDS = 5.0
 
@@ -39,7 +39,7 @@
 
     def restart(self):
         """Replace the allocator; the next request reports earlier permits."""
-        self.dealer = quotas.Dealer(
+        self.allocator = quotas.QuotaAllocator(
             self.parts, SPAN_SECONDS, lambda: self.now, lambda: 60.0
         )
         self.has_to_report = True
@@ -48,28 +48,28 @@
         """Advance the clock while the allocator ticks."""
         end = self.now + seconds
         while self.now < end:
-            self.now = min(end, self.now + dealer_module.TICK_SECONDS)
-            self.dealer.tick()
+            self.now = min(end, self.now + allocator_module.TICK_SECONDS)
+            self.allocator.tick()
 
     def pause(self, seconds):
         """Advance the clock without ticks, as if the process was paused."""
         self.now += seconds
         self.has_to_report = True
 
-    def ask(self, use=TOOL_CALL, limited_workspace=None, **options):
+    def request_permit(self, use=TOOL_CALL, limited_workspace=None, **options):
         """Request a permit."""
         ages = []
         if self.has_to_report:
             ages = [self.now - at for at in self.granted_at]
             ages = [age for age in ages if age < SPAN_SECONDS]
         options = {"is_first": True, "ages": ages} | options
-        deal = self.dealer.ask(
+        decision = self.allocator.request_permit(
             limited_workspace or workspace(), use, **options
         )
-        self.has_to_report = deal.state is NOT_READY
-        if deal.state is GRANTED:
+        self.has_to_report = decision.state is NOT_READY
+        if decision.state is GRANTED:
             self.granted_at.append(self.now)
-        return deal
+        return decision
 
     @property
     def max_in_any_span(self):
@@ -109,7 +109,7 @@
         for name, value in events:
             if name == "ask":
                 for _ in range(value):
-                    scenario.ask()
+                    scenario.request_permit()
             elif name == "restart":
                 scenario.restart()
             else:
@@ -123,11 +123,13 @@
     def test_a_lower_limit_counts_earlier_permits(self, rates):
         scenario = AllocatorScenario()
         scenario.wait(SPAN_SECONDS + 1.0)
-        while scenario.ask().state is GRANTED:
+        while scenario.request_permit().state is GRANTED:
             pass
         for rate in rates:
-            deal = scenario.ask(limited_workspace=workspace(rate, rate))
-            self.assertIs(REFUSED, deal.state)
+            decision = scenario.request_permit(
+                limited_workspace=workspace(rate, rate)
+            )
+            self.assertIs(REFUSED, decision.state)
 
 
 class ProgramsTest(unittest.TestCase):
@@ -136,31 +138,41 @@
     def test_new_programs_leave_permits_to_running_ones(self):
         scenario = AllocatorScenario()
         scenario.wait(SPAN_SECONDS + 1.0)
-        while scenario.ask(use=BEGIN_PROGRAM).state is GRANTED:
+        while scenario.request_permit(use=BEGIN_PROGRAM).state is GRANTED:
             pass
-        self.assertIs(GRANTED, scenario.ask(quotas.Use.GOES_ON).state)
+        self.assertIs(
+            GRANTED,
+            scenario.request_permit(quotas.PermitUse.CONTINUES_PROGRAM).state,
+        )
 
     def test_turns_leave_permits_to_tools(self):
         scenario = AllocatorScenario()
         scenario.wait(SPAN_SECONDS + 1.0)
-        while scenario.ask(quotas.Use.GOES_ON).state is GRANTED:
+        while (
+            scenario.request_permit(quotas.PermitUse.CONTINUES_PROGRAM).state
+            is GRANTED
+        ):
             pass
-        self.assertIs(GRANTED, scenario.ask(TOOL_CALL).state)
+        self.assertIs(GRANTED, scenario.request_permit(TOOL_CALL).state)
 
     def test_the_smallest_limit_admits_new_programs(self):
         scenario = AllocatorScenario(parts=3)
         small = workspace(rate=1.0, burst=1.0)
         scenario.wait(4.0)
-        self.assertIs(GRANTED, scenario.ask(BEGIN_PROGRAM, small).state)
+        self.assertIs(
+            GRANTED, scenario.request_permit(BEGIN_PROGRAM, small).state
+        )
 
     def test_retry_after_the_stated_wait_succeeds(self):
         scenario = AllocatorScenario()
         scenario.wait(SPAN_SECONDS + 1.0)
-        while scenario.ask(use=BEGIN_PROGRAM).state is GRANTED:
+        while scenario.request_permit(use=BEGIN_PROGRAM).state is GRANTED:
             pass
-        deal = scenario.ask(use=BEGIN_PROGRAM)
-        scenario.wait(deal.wait + 0.01)
-        self.assertIs(GRANTED, scenario.ask(use=BEGIN_PROGRAM).state)
+        decision = scenario.request_permit(use=BEGIN_PROGRAM)
+        scenario.wait(decision.wait + 0.01)
+        self.assertIs(
+            GRANTED, scenario.request_permit(use=BEGIN_PROGRAM).state
+        )
 
 
 class SuccessionTest(unittest.TestCase):
@@ -168,44 +180,48 @@
 
     def test_not_ready_after_a_pause(self):
         scenario = AllocatorScenario()
-        scenario.ask()
+        scenario.request_permit()
         scenario.wait(2.0)
         scenario.pause(3.0)
-        self.assertIs(NOT_READY, scenario.ask().state)
-        scenario.wait(dealer_module.SUSPENDED_SECONDS + 0.1)
-        self.assertIs(GRANTED, scenario.ask().state)
+        self.assertIs(NOT_READY, scenario.request_permit().state)
+        scenario.wait(allocator_module.SUSPENDED_SECONDS + 0.1)
+        self.assertIs(GRANTED, scenario.request_permit().state)
 
     def test_a_new_vm_grants_only_if_no_allocator_is_ready(self):
         scenario = AllocatorScenario()
-        scenario.dealer = quotas.Dealer(
+        scenario.allocator = quotas.QuotaAllocator(
             1, SPAN_SECONDS, lambda: scenario.now, lambda: 3.0
         )
-        self.assertIs(NOT_READY, scenario.ask().state)
-        self.assertIs(GRANTED, scenario.ask(insists=True).state)
+        self.assertIs(NOT_READY, scenario.request_permit().state)
+        self.assertIs(
+            GRANTED, scenario.request_permit(ignore_readiness=True).state
+        )
 
     def test_a_successor_counts_permits_of_its_predecessor(self):
         scenario = AllocatorScenario()
         scenario.wait(SPAN_SECONDS + 1.0)
-        while scenario.ask().state is GRANTED:
+        while scenario.request_permit().state is GRANTED:
             pass
         scenario.restart()
-        self.assertIs(REFUSED, scenario.ask().state)
+        self.assertIs(REFUSED, scenario.request_permit().state)
         scenario.wait(2.0)
-        self.assertIs(REFUSED, scenario.ask().state)
+        self.assertIs(REFUSED, scenario.request_permit().state)
 
     def test_few_permits_after_a_power_loss_of_all_vms(self):
         scenario = AllocatorScenario()
-        scenario.dealer = quotas.Dealer(
+        scenario.allocator = quotas.QuotaAllocator(
             1, SPAN_SECONDS, lambda: scenario.now, lambda: 0.0
         )
         for _ in range(100):
-            scenario.ask(insists=True, ages=[])
+            scenario.request_permit(ignore_readiness=True, ages=[])
         self.assertLessEqual(len(scenario.granted_at), 2)
 
     def test_a_workspace_without_limit_is_always_granted(self):
         scenario = AllocatorScenario()
         unlimited = workspaces.Workspace(workspaces.WorkspaceName("free"))
-        self.assertIs(GRANTED, scenario.ask(limited_workspace=unlimited).state)
+        self.assertIs(
+            GRANTED, scenario.request_permit(limited_workspace=unlimited).state
+        )
 
 
 class OrderTest(unittest.TestCase):
@@ -223,16 +239,16 @@
 
     def test_the_order_of_the_list_does_not_matter(self):
         vms = self.vms(20)
-        first_order = quotas.dealers_of("acme", vms, "z")
-        second_order = quotas.dealers_of("acme", reversed(vms), "z")
+        first_order = quotas.allocators_of("acme", vms, "z")
+        second_order = quotas.allocators_of("acme", reversed(vms), "z")
         self.assertEqual(first_order, second_order)
 
     def test_a_new_vm_becomes_first_for_few_workspaces(self):
         vms = self.vms(21)
         names = [f"workspace-{number}" for number in range(200)]
         moved = sum(
-            quotas.dealers_of(name, vms, "z")[0]
-            is not quotas.dealers_of(name, vms[:-1], "z")[0]
+            quotas.allocators_of(name, vms, "z")[0]
+            is not quotas.allocators_of(name, vms[:-1], "z")[0]
             for name in names
         )
         self.assertLess(moved, 30)
--- a/postspring/scheduling/__init__.py
+++ b/postspring/scheduling/__init__.py
@@ -5,8 +5,8 @@
 from postspring.scheduling.placement import Placement
 from postspring.scheduling.placement import placement_by_name
 from postspring.scheduling.pool import Assignment
-from postspring.scheduling.pool import Ticket
 from postspring.scheduling.pool import UpstreamPool
+from postspring.scheduling.pool import WaitingCall
 from postspring.scheduling.retry_budget import RetryBudget
 from postspring.scheduling.shared_load import SharedAffinity
 from postspring.scheduling.urgency import Urgency
@@ -20,7 +20,7 @@
     "Placement",
     "RetryBudget",
     "SharedAffinity",
-    "Ticket",
+    "WaitingCall",
     "UpstreamPool",
     "order_by_name",
     "placement_by_name",
--- a/postspring/scheduling/placement.py
+++ b/postspring/scheduling/placement.py
@@ -191,7 +191,7 @@
 
 def typical_pace(candidates, now: float) -> float | None:
     """Return the median pause between events; None with too few samples."""
-    known = [item.pace for item in candidates if item.pace_trust(now)]
+    known = [item.pace for item in candidates if item.pace_confidence(now)]
     if len(known) < MIN_PACES:
         return None
     return max(statistics.median(known), MIN_PAUSE_SECONDS)
@@ -206,7 +206,7 @@
     if typical is None:
         return 0.0
     excess = max(0.0, upstream.pace / typical - 1.0)
-    return excess * upstream.pace_trust(now)
+    return excess * upstream.pace_confidence(now)
 
 
 @placement_by_name.register("prefix_affinity")
--- a/postspring/scheduling/pool.py
+++ b/postspring/scheduling/pool.py
@@ -8,11 +8,11 @@
 from postspring.scheduling import placement
 from postspring.upstreams import state
 
-__all__ = ["Assignment", "Ticket", "UpstreamPool"]
+__all__ = ["Assignment", "UpstreamPool", "WaitingCall"]
 
 
 @dataclasses.dataclass(slots=True)
-class Ticket:
+class WaitingCall:
     """A call that waits for an upstream.
 
     Parameters
@@ -44,7 +44,7 @@
 class Assignment:
     """A call and the upstream that was assigned to it."""
 
-    ticket: Ticket
+    waiting_call: WaitingCall
     upstream: state.UpstreamState
 
 
@@ -72,7 +72,7 @@
         self.order = order
         self.max_waiting = max_waiting
         self.upstream_by_id: dict[str, state.UpstreamState] = {}
-        self._waiting_by_target: dict[str, dict[Hashable, Ticket]] = {}
+        self._waiting_by_target: dict[str, dict[Hashable, WaitingCall]] = {}
 
     def replace_upstreams(self, upstreams: list[state.UpstreamState]) -> None:
         """Replace the upstreams; those that remain keep their statistics."""
@@ -92,21 +92,21 @@
             for upstream in self.upstream_by_id.values()
         )
 
-    def usable(self, target: str, now: float) -> bool:
+    def has_usable_upstream(self, target: str, now: float) -> bool:
         """Return whether an upstream of the target accepts calls."""
         return any(
             target in upstream.serves and upstream.accepts(now)
             for upstream in self.upstream_by_id.values()
         )
 
-    def full(self, target: str) -> bool:
+    def is_full(self, target: str) -> bool:
         """Return whether the target's queue has reached its maximum."""
         return len(self._waiting_by_target.get(target, ())) >= self.max_waiting
 
-    def submit(self, ticket: Ticket) -> None:
+    def submit(self, waiting_call: WaitingCall) -> None:
         """Add a waiting call; :meth:`assign` yields it later."""
-        waiting = self._waiting_by_target.setdefault(ticket.target, {})
-        waiting[ticket.key] = ticket
+        waiting = self._waiting_by_target.setdefault(waiting_call.target, {})
+        waiting[waiting_call.key] = waiting_call
 
     def withdraw(self, target: str, key: Hashable) -> None:
         """Remove a waiting call."""
@@ -130,27 +130,27 @@
             upstream.note_success()
 
     def _assign_target(
-        self, target: str, waiting: dict[Hashable, Ticket], now: float
+        self, target: str, waiting: dict[Hashable, WaitingCall], now: float
     ) -> Iterator[Assignment]:
         serving = [
             upstream
             for upstream in self.upstream_by_id.values()
             if target in upstream.serves
         ]
-        for ticket in sorted(waiting.values(), key=self.order.key):
+        for waiting_call in sorted(waiting.values(), key=self.order.key):
             candidates = [
                 upstream
                 for upstream in serving
                 if upstream.has_room(now)
-                and upstream.id not in ticket.excluded
+                and upstream.id not in waiting_call.excluded
             ]
             if not candidates:
                 if not any(upstream.has_room(now) for upstream in serving):
                     return
                 continue
-            chosen = self.placement.choose(ticket, candidates)
+            chosen = self.placement.choose(waiting_call, candidates)
             if chosen is None:
                 continue
-            del waiting[ticket.key]
+            del waiting[waiting_call.key]
             chosen.in_flight += 1
-            yield Assignment(ticket, chosen)
+            yield Assignment(waiting_call, chosen)
--- a/postspring/scheduling/shared_load.py
+++ b/postspring/scheduling/shared_load.py
@@ -47,7 +47,7 @@
     ...         data_center="here",
     ...         concurrency=8,
     ...     )
-    ...     upstream.note_others(others, now=0.0)
+    ...     upstream.note_peer_calls(others, now=0.0)
     ...     return upstream
     >>> class Call:
     ...     last_upstream = "b"
@@ -56,7 +56,7 @@
     >>> full, free = make("b", 15), make("a", 2)
     >>> SharedAffinity().choose(Call, [full, free]).id
     'b'
-    >>> full.note_others(17, now=0.0)
+    >>> full.note_peer_calls(17, now=0.0)
     >>> SharedAffinity().choose(Call, [full, free]).id
     'a'
     """
@@ -73,7 +73,7 @@
         def cost(upstream) -> float:
             excess = placement.excess_pace(upstream, typical, now)
             slowness = SLOWNESS_PENALTY_BATCHES * upstream.concurrency * excess
-            return upstream.calls_of_all(now) + slowness
+            return upstream.total_calls(now) + slowness
 
         def far_cost(upstream) -> float:
             is_near = upstream.data_center == call.data_center
@@ -82,7 +82,9 @@
             )
             return cost(upstream) + margin
 
-        has_shared_loads = any(item.knows_others(now) for item in candidates)
+        has_shared_loads = any(
+            item.has_recent_peer_calls(now) for item in candidates
+        )
         compared = candidates
         if has_shared_loads:
             compared = _sample(candidates, call.data_center)
--- a/postspring/settings/__init__.py
+++ b/postspring/settings/__init__.py
@@ -2,6 +2,6 @@
 
 from postspring.settings.entry_settings import EntrySettings
 from postspring.settings.entry_settings import load_settings
-from postspring.settings.entry_settings import split_address
+from postspring.settings.entry_settings import parse_address
 
-__all__ = ["EntrySettings", "load_settings", "split_address"]
+__all__ = ["EntrySettings", "load_settings", "parse_address"]
--- a/postspring/settings/entry_settings.py
+++ b/postspring/settings/entry_settings.py
@@ -10,7 +10,7 @@
 from postspring import errors
 from postspring import scheduling
 
-__all__ = ["EntrySettings", "load_settings", "split_address"]
+__all__ = ["EntrySettings", "load_settings", "parse_address"]
 
 ENVIRONMENT_PREFIX = "POSTSPRING_"
 
@@ -20,7 +20,7 @@
 Seconds = Annotated[float, pydantic.Field(gt=0, le=3600)]
 
 
-def split_address(value: str) -> tuple[str, int]:
+def parse_address(value: str) -> tuple[str, int]:
     """Return ``(ip, port)`` from ``ip:port``; port 0 is allowed.
 
     Raises
@@ -39,7 +39,7 @@
 
 
 def _check_address(value: str) -> str:
-    split_address(value)
+    parse_address(value)
     return value
 
 
--- a/postspring/sharedlog/tail.py
+++ b/postspring/sharedlog/tail.py
@@ -22,7 +22,7 @@
     ===========
 
     Each read starts at ``next_offset()``.  Failed reads are repeated with
-    exponential backoff.  ``caught_up`` is False until a page has reached
+    exponential backoff.  ``has_caught_up`` is False until a page has reached
     the end of the stream, and is set anew after each page.
 
     Parameters
@@ -60,7 +60,7 @@
         self._failures = 0
         self._closed = False
         self._exchange: transport.Exchange | None = None
-        self.caught_up = False
+        self.has_caught_up = False
 
     def start(self) -> None:
         """Send the first read."""
@@ -76,7 +76,7 @@
         if self._closed:
             return
         # A read that does not wait returns the end of the stream at once.
-        wait = LONG_POLL_SECONDS if self.caught_up else 0.0
+        wait = LONG_POLL_SECONDS if self.has_caught_up else 0.0
         self._exchange = self._client.read(
             self._stream,
             self._next_offset(),
@@ -91,7 +91,7 @@
             self._on_page(page)
         except Exception:
             LOG.exception("failed to apply a page of stream %s", self._stream)
-        self.caught_up = self._next_offset() >= page.next
+        self.has_caught_up = self._next_offset() >= page.next
         self._on_health(True)
         self._timers.call_later(0, self._read)
 
--- a/postspring/testing/__main__.py
+++ b/postspring/testing/__main__.py
@@ -15,7 +15,7 @@
 
     def platform(self, listen: str, retain: int = 1_000_000) -> None:
         """Run the platform's log and list of VMs."""
-        bind = settings.split_address(listen)
+        bind = settings.parse_address(listen)
         base.run_until_signal(
             platform_service.PlatformService(bind, int(retain))
         )
@@ -23,7 +23,7 @@
     def engine(self, listen: str, models: str, **options) -> None:
         """Run an engine; ``models`` is a comma-separated list."""
         names = models.split(",") if isinstance(models, str) else models
-        bind = settings.split_address(listen)
+        bind = settings.parse_address(listen)
         base.run_until_signal(
             engine_module.Engine(bind, tuple(names), **options)
         )
@@ -32,20 +32,20 @@
         """Run a link that takes connections at ``forward``."""
         base.run_until_signal(
             link_module.Link(
-                settings.split_address(listen),
-                settings.split_address(forward),
-                settings.split_address(to),
+                settings.parse_address(listen),
+                settings.parse_address(forward),
+                settings.parse_address(to),
             )
         )
 
     def tool(self, listen: str) -> None:
         """Run a tool service."""
-        bind = settings.split_address(listen)
+        bind = settings.parse_address(listen)
         base.run_until_signal(services.ToolService(bind))
 
     def plain(self, listen: str) -> None:
         """Run a plain service."""
-        bind = settings.split_address(listen)
+        bind = settings.parse_address(listen)
         base.run_until_signal(services.PlainService(bind))
 
 
--- a/postspring/testing/callers_edge.py
+++ b/postspring/testing/callers_edge.py
@@ -79,7 +79,7 @@
         self._clock = mock.patch.object(timers_module, "time", clock)
         self._clock.start()
         self._running = True
-        self.turn()
+        self.run_loop()
         # A server that listens no more has none.
         self._address = self.callers.address
 
@@ -97,19 +97,19 @@
         """Let time pass in which the process does not run."""
         self._late += seconds
 
-    def turn(self, count: int = 5) -> None:
+    def run_loop(self, count: int = 5) -> None:
         """Turn the loop some times."""
         for _ in range(count):
             if self.stopped:
                 return
             self.tick(timeout=0.001)
 
-    def turn_until(self, check: Callable[[], bool]) -> None:
+    def run_loop_until(self, check: Callable[[], bool]) -> None:
         """Turn the loop, and let callers read, until something holds."""
         for _ in range(MAX_TURNS):
             if check():
                 return
-            self.turn(1)
+            self.run_loop(1)
             for caller in self._connected:
                 caller.poll()
         raise AssertionError("the loop was turned in vain")
--- a/postspring/testing/engine.py
+++ b/postspring/testing/engine.py
@@ -96,7 +96,9 @@
 
     def submit(self, generation: _Generation) -> None:
         """Queue a request; priority first (smaller goes first)."""
-        generation.request.on_gone = lambda: self.cancel(generation.request_id)
+        generation.request.on_disconnect = lambda: self.cancel(
+            generation.request_id
+        )
         self._waiting.append(generation)
         self._waiting.sort(key=lambda item: (item.priority, item.arrived))
         self._admit()
--- a/postspring/testing/fleet/caller.py
+++ b/postspring/testing/fleet/caller.py
@@ -12,18 +12,18 @@
 
 @dataclasses.dataclass(slots=True)
 class CallerAnswer:
-    """What came back; ``whole`` only with a proper end."""
+    """What came back; ``complete`` only with a proper end."""
 
     status: int = 0
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
     closed: bool = False
 
     @property
     def settled(self) -> bool:
         """Whether nothing more will come."""
-        return self.whole or self.closed
+        return self.complete or self.closed
 
 
 class Caller:
@@ -101,7 +101,7 @@
             elif isinstance(event, h11.Data):
                 self.answer.body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                self.answer.whole = True
+                self.answer.complete = True
             else:
                 return
 
--- a/postspring/testing/fleet/engine_service.py
+++ b/postspring/testing/fleet/engine_service.py
@@ -178,7 +178,7 @@
         self.runs.append(
             Arrival(call.method, call.target, tuple(call.fields), call.body)
         )
-        call.on_gone = self._count_gone
+        call.on_disconnect = self._count_gone
         if self.faults.hang:
             return
         if self.faults.take("lose_answer"):
--- a/postspring/testing/fleet/fleet.py
+++ b/postspring/testing/fleet/fleet.py
@@ -183,14 +183,14 @@
         self.nodes.append(node)
         self._turn_root(node)
         node.start()
-        self.turn_until(lambda: node.is_ready)
+        self.run_loop_until(lambda: node.is_ready)
         return node
 
     def stop_vm(self, node: node_module.FrontNode) -> None:
         """Kill an entry VM with all that it knows."""
         self.nodes.remove(node)
         for component in (node.callers, node.readiness, node.peers):
-            component.refuse_new()
+            component.stop_accepting()
             for connection in list(component._connections):
                 component.hub._close(connection._sock)
 
@@ -218,7 +218,7 @@
         for caller in self._callers:
             caller.poll()
 
-    def turn_until(self, check: Callable[[], bool]) -> None:
+    def run_loop_until(self, check: Callable[[], bool]) -> None:
         """Turn the loops until something holds."""
         for _ in range(MAX_TURNS_OF_LOOP):
             if check():
@@ -253,7 +253,7 @@
         """Send a request and wait for its answer."""
         caller = caller or self.caller(vm)
         caller.send(method, target, self.headers(request, headers), body)
-        self.turn_until(lambda: caller.answer.settled)
+        self.run_loop_until(lambda: caller.answer.settled)
         return caller.answer
 
     @staticmethod
--- a/postspring/testing/fleet/journal_fleet.py
+++ b/postspring/testing/fleet/journal_fleet.py
@@ -156,27 +156,27 @@
             self._way_changed,
         )
         self.journal = histories.Journal(self.log, timers, f"{name}/1")
-        promises = peering.Promises(name, timers.now)
+        leases = peering.ProgramLeases(name, timers.now)
         self.peer_client = peering.PeerClient(
             _PeerHttp(fleet, data_center, timers),
             members,
-            promises,
+            leases,
             lambda: True,
-            mock.Mock(sends_away=False),
+            mock.Mock(callers_should_retry=False),
             timers,
         )
         self.journal.replica_holders = self.peer_client.holders
-        self.service = self._service(promises)
+        self.service = self._service(leases)
 
-    def _service(self, promises: peering.Promises) -> peering.PeerService:
+    def _service(self, leases: peering.ProgramLeases) -> peering.PeerService:
         return peering.PeerService(
             self.journal,
             mock.Mock(),
-            promises,
+            leases,
             lambda: True,
             lambda subject: None,
             lambda name, entry: None,
-            is_direct=lambda: self.log.is_direct,
+            has_direct_path=lambda: self.log.has_direct_path,
             reaches_log=lambda: self.log.reaches_log,
         )
 
@@ -188,7 +188,7 @@
 
     def _way_changed(self) -> None:
         if not self.log.is_down:
-            self.journal.log_is_back()
+            self.journal.on_log_recovered()
 
     def kill(self) -> None:
         """End it with all that it knows."""
@@ -243,7 +243,7 @@
         for entries in self.data.records_by_place.values():
             for entry in entries:
                 record = histories.decode_record(entry.value)
-                if isinstance(record, histories.WholeTurn):
+                if isinstance(record, histories.CompletedTurn):
                     ref = histories.TurnRef(record.program, record.turn)
                     found.add(ref)
         return found
--- a/postspring/testing/fleet/memory_fleet.py
+++ b/postspring/testing/fleet/memory_fleet.py
@@ -94,7 +94,7 @@
             self.timers.call_later(HOP_SECONDS, function, result)
 
         def start() -> None:
-            if not self.vm.log.is_direct:
+            if not self.vm.log.has_direct_path:
                 later(on_error, keyedlog.LogUnavailable("status_503"))
                 return
             getattr(self.vm.direct, name)(
--- a/postspring/testing/fleet/silence.py
+++ b/postspring/testing/fleet/silence.py
@@ -14,7 +14,7 @@
     connections = list(server._connections)
     for connection in connections:
         connection.received = _ignore
-        connection.send_answer = _ignore
+        connection.send_response = _ignore
         connection.send_head = _ignore
         connection.send_data = _ignore
         connection.send_end = _ignore
--- a/postspring/testing/link.py
+++ b/postspring/testing/link.py
@@ -37,7 +37,7 @@
         """Close the other end, too."""
         self.link.forget(self)
         if self.other is not None:
-            self.link.hub.shut(self.other.sock)
+            self.link.hub.close_when_sent(self.other.sock)
 
 
 class Link(base.StandIn):
@@ -71,9 +71,9 @@
         self._cut = bool(self.faults.get("cut"))
         for end in self._ends:
             if self._cut:
-                self.hub.hold(end.sock)
+                self.hub.pause_reading(end.sock)
             else:
-                self.hub.unpace(end.sock)
+                self.hub.resume_reading(end.sock)
         if not self._cut:
             waiting = self._waiting
             self._waiting = []
@@ -107,6 +107,6 @@
             return other
 
         def on_error(error: errors.TransportError) -> None:
-            self.hub.shut(end.sock)
+            self.hub.close_when_sent(end.sock)
 
         self.hub.open(self._target, CONNECT_SECONDS, on_open, on_error)
--- a/postspring/testing/load/world.py
+++ b/postspring/testing/load/world.py
@@ -263,7 +263,7 @@
             for number, upstream in enumerate(vm.upstreams):
                 others = totals[number] - upstream.in_flight
                 self.clock.call_later(
-                    delay, upstream.note_others, others, self.clock.now
+                    delay, upstream.note_peer_calls, others, self.clock.now
                 )
         self.clock.call_later(self.shape.exchange, self._exchange)
 
--- a/postspring/testing/platform_service.py
+++ b/postspring/testing/platform_service.py
@@ -180,7 +180,7 @@
         return
     stream.waiting.append(reader)
     reader.timer = service.timers.call_later(wait, reader.answer)
-    request.on_gone = lambda: (
+    request.on_disconnect = lambda: (
         stream.waiting.remove(reader) if reader in stream.waiting else None
     )
 
--- a/postspring/testing/process_stage.py
+++ b/postspring/testing/process_stage.py
@@ -34,7 +34,7 @@
                     "advisor", key, retry_timeout=retry_timeout
                 )
             else:
-                result = self.program.use_tool(
+                result = self.program.call_tool(
                     "parts", {"key": key}, retry_timeout=retry_timeout, key=key
                 )
         except connection.RefusedError as error:
--- a/postspring/testing/soak/upstream_process.py
+++ b/postspring/testing/soak/upstream_process.py
@@ -92,7 +92,7 @@
 
     def _begin(self, call, run: records.Run) -> None:
         answer = digests.Digest()
-        call.on_gone = lambda: self._end(run, answer, "gone")
+        call.on_disconnect = lambda: self._end(run, answer, "gone")
         fields = [
             (names.REQUEST_ID, run.id),
             (names.SERVER_SEAL, f"{run.key}.{run.id}"),
--- a/postspring/testing/tests/test_mutations.py
+++ b/postspring/testing/tests/test_mutations.py
@@ -50,16 +50,16 @@
         self.fail("no scenario noticed")
 
     def test_dispatch_before_the_intent_counts(self):
-        original = call_flow.CallFlow._log_intent
+        original = call_flow.CallFlow._append_intent
 
         def hasty(flow, state, call, now):
             original(flow, state, call, now)
             if state.active is call:
                 call.intent = (1, 1)
-                flow._desk.attempts.submit(state, call, now)
+                flow._context.attempts.submit(state, call, now)
 
         self.assert_found(
-            mock.patch.object(call_flow.CallFlow, "_log_intent", hasty),
+            mock.patch.object(call_flow.CallFlow, "_append_intent", hasty),
             "owner_killed_before_intent",
             "append_takes_effect_late",
             "log_down",
@@ -75,7 +75,7 @@
                 call.intent = (intent.epoch, intent.sequence)
                 del state.queue_by_step[call.message.step]
                 state.active = call
-                flow._desk.attempts.submit(state, call, now)
+                flow._context.attempts.submit(state, call, now)
                 return False
             return original(flow, state, call, now)
 
@@ -116,7 +116,7 @@
             if pending is None:
                 return
             for to in pending.waiters:
-                flow._desk.reply(
+                flow._context.reply(
                     to, call_flow.messages.CallAnswered(turn=turn)
                 )
             pending.waiters = []
@@ -163,14 +163,16 @@
             return state._put_in_force(offset, record)
 
         self.assert_found(
-            mock.patch.object(configuration.ConfigurationFold, "_judge", lax),
+            mock.patch.object(
+                configuration.ConfigurationFold, "_check_and_apply", lax
+            ),
             "operators_race",
         )
 
     def test_caches_are_not_released(self):
         with contextlib.ExitStack() as stack:
             for owner, name in (
-                (lifecycle.ProgramLifecycle, "release"),
+                (lifecycle.ProgramLifecycle, "release_caches"),
                 (core.cache_keeper.CacheKeeper, "_release_strays"),
             ):
                 stack.enter_context(
--- a/postspring/testing/virtual/network.py
+++ b/postspring/testing/virtual/network.py
@@ -63,7 +63,7 @@
         self._exchange = exchange
         self._server = server
         self._after = 0.0
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     @property
     def gone(self) -> bool:
@@ -161,8 +161,11 @@
         getattr(listener, what)(*arguments)
 
     def _tell_server(self) -> None:
-        if self.responder is not None and self.responder.on_gone is not None:
-            self.responder.on_gone()
+        if (
+            self.responder is not None
+            and self.responder.on_disconnect is not None
+        ):
+            self.responder.on_disconnect()
 
 
 class VirtualHttp:
--- a/postspring/testing/virtual/servers.py
+++ b/postspring/testing/virtual/servers.py
@@ -88,7 +88,7 @@
         self, change_id: str, expected: int, document: dict
     ) -> None:
         """Append a configuration made against a version."""
-        record = configuration.Publish(
+        record = configuration.PublishRecord(
             change_id=change_id,
             expected_version=expected,
             version=expected + 1,
--- a/postspring/transport/__init__.py
+++ b/postspring/transport/__init__.py
@@ -2,14 +2,14 @@
 
 from postspring.transport.http_client import Exchange
 from postspring.transport.http_client import HttpClient
-from postspring.transport.http_messages import AnswerCollector
 from postspring.transport.http_messages import HttpListener
 from postspring.transport.http_messages import HttpRequest
-from postspring.transport.http_messages import integer_in
+from postspring.transport.http_messages import parse_integer
+from postspring.transport.http_messages import ResponseCollector
 from postspring.transport.http_server import HttpServer
-from postspring.transport.incoming import Cut
 from postspring.transport.incoming import EndedBy
 from postspring.transport.incoming import IncomingCall
+from postspring.transport.incoming import InterruptedResponse
 from postspring.transport.incoming import ServerLimits
 from postspring.transport.sockets import ConnectionHandler
 from postspring.transport.sockets import SocketHub
@@ -17,9 +17,7 @@
 from postspring.transport.timers import Timers
 
 __all__ = [
-    "AnswerCollector",
     "ConnectionHandler",
-    "Cut",
     "EndedBy",
     "Exchange",
     "HttpClient",
@@ -27,9 +25,11 @@
     "HttpRequest",
     "HttpServer",
     "IncomingCall",
+    "InterruptedResponse",
+    "ResponseCollector",
     "ServerLimits",
     "SocketHub",
     "TimerHandle",
     "Timers",
-    "integer_in",
+    "parse_integer",
 ]
--- a/postspring/transport/opening.py
+++ b/postspring/transport/connecting_hub.py
@@ -9,11 +9,11 @@
 from circuits.net import sockets
 
 from postspring import errors
-from postspring.transport import connecting
+from postspring.transport import connection_attempts
 from postspring.transport import connection_handler
-from postspring.transport import files
+from postspring.transport import descriptor_limits
+from postspring.transport import send_windows
 from postspring.transport import timers as timers_module
-from postspring.transport import windows
 
 __all__ = ["ConnectingHub", "call_safely"]
 
@@ -37,10 +37,10 @@
             socket.socket, connection_handler.ConnectionHandler
         ] = {}
         self._connecting: dict[
-            socket.socket, connecting.PendingConnection
+            socket.socket, connection_attempts.PendingConnection
         ] = {}
-        self._send_windows = windows.SendWindowMonitor(timers)
-        self.shortage = files.ConnectionShortage(timers)
+        self._send_windows = send_windows.SendWindowMonitor(timers)
+        self.shortage = descriptor_limits.ConnectionShortage(timers)
         super().__init__(bind, **options)
 
     def open(
@@ -70,14 +70,14 @@
             sock = self._start_connect(address)
         except (OSError, OverflowError) as error:
             # No descriptor is free, or the address is invalid.
-            reason = connecting.error_name(error)
-            failure = connecting.connect_error(address, reason)
+            reason = connection_attempts.error_name(error)
+            failure = connection_attempts.connect_error(address, reason)
             self._timers.call_later(0, on_error, failure)
             return
         deadline = self._timers.call_later(
             timeout, self._connect_timed_out, sock
         )
-        self._connecting[sock] = connecting.PendingConnection(
+        self._connecting[sock] = connection_attempts.PendingConnection(
             address, on_open, on_error, deadline
         )
         self._poller.addWriter(self, sock)
@@ -98,7 +98,9 @@
         if new_handler is None:
             self._close(sock)
             reason = "its user failed"
-            failure = connecting.connect_error(pending.address, reason)
+            failure = connection_attempts.connect_error(
+                pending.address, reason
+            )
             call_safely(pending.on_error, failure)
         elif sock in self._clients:
             self._handler_by_socket[sock] = new_handler
@@ -136,7 +138,8 @@
         self._send_windows.remove(sock)
         sock.close()
         call_safely(
-            pending.on_error, connecting.connect_error(pending.address, reason)
+            pending.on_error,
+            connection_attempts.connect_error(pending.address, reason),
         )
 
 
--- a/postspring/transport/http_client.py
+++ b/postspring/transport/http_client.py
@@ -74,7 +74,7 @@
     def resume(self) -> None:
         """Continue reading a paced response."""
         if self._socket is not None and not self.done:
-            self._client.hub.unpace(self._socket)
+            self._client.hub.resume_reading(self._socket)
             self._client.hub.start_paced_reading(self._socket)
 
     # -- from the client ------------------------------------------------------
@@ -84,7 +84,7 @@
     ) -> "Exchange":
         """Send the request on this connection."""
         if self.done:
-            self._client.hub.shut(sock)
+            self._client.hub.close_when_sent(sock)
             return self
         self._socket = sock
         self._http = connection
@@ -134,7 +134,7 @@
         connections to the same address are closed.
         """
         self._socket = None
-        self._client.discard(self.request.address)
+        self._client.close_idle_connections(self.request.address)
         if self.done or self._retry_on_new_connection():
             return
         self._fail("connection reset", is_unreachable, is_broken=True)
@@ -195,8 +195,8 @@
             name.decode("latin-1"): value.decode("latin-1")
             for name, value in event.headers
         }
-        is_answer = self.request.is_answer
-        if is_answer is not None and not is_answer(headers):
+        is_own_response = self.request.is_own_response
+        if is_own_response is not None and not is_own_response(headers):
             self._skipping_response = True
             return
         self.header_fields = event.headers.raw_items()
@@ -218,7 +218,7 @@
         self._listener = None
         self._timeout_timer.cancel()
         if self.request.paced and self._socket is not None:
-            self._client.hub.unpace(self._socket)
+            self._client.hub.resume_reading(self._socket)
         headers = {
             name.lower().decode("latin-1"): value.decode("latin-1")
             for name, value in self.header_fields
@@ -317,11 +317,11 @@
         newest.expiry.cancel()
         return newest
 
-    def discard(self, address: tuple[str, int]) -> None:
+    def close_idle_connections(self, address: tuple[str, int]) -> None:
         """Close all idle connections to an address."""
         for idle in list(self._idle_by_address.pop(address, ())):
             idle.expiry.cancel()
-            self.hub.shut(idle.sock)
+            self.hub.close_when_sent(idle.sock)
 
     def close_oldest_idle(self) -> bool:
         """Close the connection that has been idle longest, if there is one."""
@@ -329,7 +329,7 @@
         if not oldest:
             return False
         kept = min(oldest, key=lambda item: item.idle_since)
-        self.hub.shut(kept.sock)
+        self.hub.close_when_sent(kept.sock)
         return True
 
     def close_older_idle(self, silent: Exchange) -> None:
@@ -344,7 +344,7 @@
             if idle.idle_since <= silent.sent_at:
                 idle.expiry.cancel()
                 self.remove_idle(address, idle.sock)
-                self.hub.shut(idle.sock)
+                self.hub.close_when_sent(idle.sock)
 
     def connect(self, exchange: Exchange) -> None:
         """Open a new connection for the exchange."""
@@ -381,7 +381,7 @@
         ):
             seconds = 0.0
         if seconds <= 0:
-            self.hub.shut(sock)
+            self.hub.close_when_sent(sock)
             return
         connection.start_next_cycle()
         kept = kept_connections.KeptConnection(
--- a/postspring/transport/http_messages.py
+++ b/postspring/transport/http_messages.py
@@ -10,11 +10,11 @@
 from postspring import errors
 
 __all__ = [
-    "AnswerCollector",
     "HttpListener",
     "HttpRequest",
+    "ResponseCollector",
     "encode_fields",
-    "integer_in",
+    "parse_integer",
     "serialize_request",
 ]
 
@@ -23,14 +23,14 @@
 MAX_DIGITS = 18
 
 
-def integer_in(text: str) -> int | None:
+def parse_integer(text: str) -> int | None:
     """Return a header field's value as a non-negative integer, or None.
 
     Examples
     --------
-    >>> integer_in("80"), integer_in("-1"), integer_in("\\xb2")
+    >>> parse_integer("80"), parse_integer("-1"), parse_integer("\\xb2")
     (80, None, None)
-    >>> integer_in("9" * 99)
+    >>> parse_integer("9" * 99)
     """
     is_number = text.isascii() and text.isdigit()
     return int(text) if is_number and len(text) <= MAX_DIGITS else None
@@ -58,7 +58,7 @@
         If no byte of a response has arrived after this time, connections
         to the same address that were idle before this request was sent are
         closed instead of reused.
-    is_answer : callable, optional
+    is_own_response : callable, optional
         Takes the headers of a response (names in lower case) and returns
         whether the response belongs to this request.  Any other response
         is skipped as a late one to an earlier request.
@@ -75,7 +75,7 @@
     paced: bool = False
     max_idle: float = math.inf
     silent_after: float = math.inf
-    is_answer: Callable[[dict[str, str]], bool] | None = None
+    is_own_response: Callable[[dict[str, str]], bool] | None = None
 
     @property
     def fields(self) -> list[tuple[str, str]]:
@@ -145,7 +145,7 @@
         """Handle the failure of the exchange; no other call follows."""
 
 
-class AnswerCollector(HttpListener):
+class ResponseCollector(HttpListener):
     """Buffers a response and passes it on when it is complete.
 
     It suits small responses only: the whole body is kept in memory.
--- a/postspring/transport/http_server.py
+++ b/postspring/transport/http_server.py
@@ -36,8 +36,8 @@
         Called with the status of each request that could not be read, and
         with 503 for each connection above the limit.
     on_interrupted : callable, optional
-        Called with a :class:`~.incoming.Cut` for each connection that ends
-        while a response is incomplete or partly unsent.
+        Called with a :class:`~.incoming.InterruptedResponse` for each
+        connection that ends while a response is incomplete or partly unsent.
 
     Attributes
     ==========
@@ -52,7 +52,9 @@
         application: Callable[[incoming.IncomingCall], None],
         limits: incoming.ServerLimits,
         on_rejected: Callable[[int], None] = lambda status: None,
-        on_interrupted: Callable[[incoming.Cut], None] = lambda cut: None,
+        on_interrupted: Callable[
+            [incoming.InterruptedResponse], None
+        ] = lambda cut: None,
     ):
         self.hub: sockets.SocketHub | None = None
         self.timers = timers
@@ -138,28 +140,30 @@
         seconds = 0.0
         if call is not None:
             seconds = self.timers.now() - call.received_at
-        self._on_interrupted(incoming.Cut(ended_by, call, unsent, seconds))
+        self._on_interrupted(
+            incoming.InterruptedResponse(ended_by, call, unsent, seconds)
+        )
 
     def close_idle(self) -> None:
         """Close the connections that have no open or incoming request."""
         for connection in list(self._connections):
             connection.close_if_idle()
 
-    def give_up(self) -> None:
+    def complete_now(self) -> None:
         """Complete open requests now, and reject partly received ones."""
         self.hub.accept_pending()
         for connection in list(self._connections):
-            connection.give_up()
+            connection.complete_now()
 
     def close_all(self) -> None:
         """Close every connection and discard unsent bytes."""
         for connection in list(self._connections):
             connection.close()
 
-    def refuse_new(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept the waiting connections, then close the listener."""
         self.hub.accept_pending()
-        self.hub.refuse_new()
+        self.hub.stop_accepting()
 
     def _has_room(self) -> bool:
         limit = self.limits.connections
--- a/postspring/transport/incoming.py
+++ b/postspring/transport/incoming.py
@@ -7,13 +7,13 @@
 import logging
 from typing import Protocol
 
-from postspring.transport import files
+from postspring.transport import descriptor_limits
 
 __all__ = [
-    "Cut",
     "EndedBy",
     "Fields",
     "IncomingCall",
+    "InterruptedResponse",
     "ResponseSender",
     "ServerLimits",
 ]
@@ -42,13 +42,13 @@
     body_seconds: float = 30.0
     idle_seconds: float = 60.0
     connections: int = dataclasses.field(
-        default_factory=files.connection_limit
+        default_factory=descriptor_limits.connection_limit
     )
 
     @classmethod
     def within(cls, max_files: int) -> "ServerLimits":
         """Return limits for a process that may open ``max_files`` files."""
-        return cls(connections=files.connection_limit(max_files))
+        return cls(connections=descriptor_limits.connection_limit(max_files))
 
 
 class EndedBy(enum.Enum):
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Cut:
+class InterruptedResponse:
     """The end of a connection while a response was incomplete or unsent.
 
     Parameters
@@ -83,7 +83,7 @@
 class ResponseSender(Protocol):
     """The connection that a request arrived on."""
 
-    def send_answer(self, status: int, fields: list, body: bytes) -> None:
+    def send_response(self, status: int, fields: list, body: bytes) -> None:
         """Send a complete response."""
 
     def send_head(self, status: int, fields: list) -> None:
@@ -108,7 +108,7 @@
     Send the response with :meth:`respond`, or with :meth:`start`,
     :meth:`send` and :meth:`finish`.  :meth:`abort` closes the connection, so
     that a truncated response does not look complete.  When the caller has
-    disconnected, ``on_gone`` is called and responses are discarded.
+    disconnected, ``on_disconnect`` is called and responses are discarded.
 
     Parameters
     ==========
@@ -125,10 +125,10 @@
         Whether the caller has disconnected.
     answered : bool
         Whether a response was started, or the call was aborted.
-    close_after : bool
+    close_after_response : bool
         Whether the connection is closed after the response, so that the
         caller opens a new one.
-    on_out_of_time : callable or None
+    on_shutdown_deadline : callable or None
         Called when this VM is about to stop: it has to send the final
         response now.
     """
@@ -149,10 +149,10 @@
         self.body = body
         self.received_at = received_at
         self.gone = False
-        self.close_after = False
+        self.close_after_response = False
         self.answered = False
-        self.on_gone: Callable[[], None] | None = None
-        self.on_out_of_time: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
+        self.on_shutdown_deadline: Callable[[], None] | None = None
         self._value_by_name: dict[str, str] = {}
         for name, value in fields:
             self._value_by_name.setdefault(name.lower(), value)
@@ -167,7 +167,7 @@
             return
         self.answered = True
         length = ("Content-Length", str(len(body)))
-        self._connection.send_answer(status, [*fields, length], body)
+        self._connection.send_response(status, [*fields, length], body)
 
     def start(self, status: int, fields: Fields) -> None:
         """Start a response of unknown length."""
@@ -189,15 +189,15 @@
     def end_for_shutdown(self) -> None:
         """Send the final response, or abort one that has started.
 
-        ``on_out_of_time`` can state in its response whether the request was
-        executed.  Without it, the caller gets a plain 502, which states
-        nothing about that.
+        ``on_shutdown_deadline`` can state in its response whether the
+        request was executed.  Without it, the caller gets a plain 502, which
+        states nothing about that.
         """
         had_started = self.answered
-        must_abort = had_started and self.on_out_of_time is None
+        must_abort = had_started and self.on_shutdown_deadline is None
         try:
-            if self.on_out_of_time is not None:
-                self.on_out_of_time()
+            if self.on_shutdown_deadline is not None:
+                self.on_shutdown_deadline()
         except Exception:
             # The remaining calls must still be completed.
             LOG.exception("completing a call at shutdown failed")
--- a/postspring/transport/kept_connections.py
+++ b/postspring/transport/kept_connections.py
@@ -29,14 +29,16 @@
         # Checked before reuse as well: after a pause of this process the
         # expiry timer is late, and the server has closed the connection.
         self.reusable_until = self.idle_since + seconds
-        self.expiry = client.timers.call_later(seconds, client.hub.shut, sock)
+        self.expiry = client.timers.call_later(
+            seconds, client.hub.close_when_sent, sock
+        )
         self._client = client
         self._address = address
 
     def received(self, data: bytes) -> None:
         """Close: no response is outstanding, so these bytes are invalid."""
         self._client.remove_idle(self._address, self.sock)
-        self._client.hub.shut(self.sock)
+        self._client.hub.close_when_sent(self.sock)
 
     def closed(self) -> None:
         """Remove the connection from the client's idle ones."""
@@ -78,7 +80,7 @@
     """
     for part in headers.get("keep-alive", "").split(","):
         name, _, value = part.strip().partition("=")
-        seconds = http_messages.integer_in(value)
+        seconds = http_messages.parse_integer(value)
         if name.lower() == "timeout" and seconds is not None:
             return min(IDLE_SECONDS, seconds - KEEP_ALIVE_MARGIN_SECONDS)
     return IDLE_SECONDS
--- a/postspring/transport/lingering.py
+++ b/postspring/transport/lingering_close.py
@@ -63,4 +63,4 @@
 
     def _close(self) -> None:
         """Close once the response has been sent."""
-        self._hub.shut(self._sock)
+        self._hub.close_when_sent(self._sock)
--- a/postspring/transport/server_connection.py
+++ b/postspring/transport/server_connection.py
@@ -14,7 +14,7 @@
 from postspring.transport import connection_handler
 from postspring.transport import http_messages
 from postspring.transport import incoming
-from postspring.transport import lingering
+from postspring.transport import lingering_close
 from postspring.transport import sockets
 from postspring.transport import timers as timers_module
 
@@ -139,7 +139,7 @@
 
     # -- from the call --------------------------------------------------------
 
-    def send_answer(self, status: int, fields: list, body: bytes) -> None:
+    def send_response(self, status: int, fields: list, body: bytes) -> None:
         """Send a complete response."""
         try:
             data = self._head_bytes(status, fields)
@@ -160,7 +160,7 @@
             data = self._head_bytes(status, fields)
         except _ENCODING_ERRORS:
             LOG.exception("cannot encode a response")
-            self._server.hub.shut(self._sock)
+            self._server.hub.close_when_sent(self._sock)
             return
         self._server.hub.send(self._sock, data)
 
@@ -179,7 +179,7 @@
         self._ended_by = incoming.EndedBy.VM
         self._incomplete_call, self.call = self.call, None
         self._is_closing = self._is_interrupted = True
-        self._server.hub.shut(self._sock)
+        self._server.hub.close_when_sent(self._sock)
 
     # -- from the server ------------------------------------------------------
 
@@ -215,9 +215,9 @@
         if hub.unsent_bytes(self._sock):
             self.state_since = self._server.timers.now()
         else:
-            hub.shut(self._sock)
+            hub.close_when_sent(self._sock)
 
-    def give_up(self) -> None:
+    def complete_now(self) -> None:
         """Complete the open request now, or reject a partly received one."""
         self._server.hub.read_pending(self._sock)
         if self.call is not None:
@@ -240,8 +240,8 @@
         self._incomplete_call = call
         self._is_interrupted = True
         call.gone = True
-        if call.on_gone is not None:
-            call.on_gone()
+        if call.on_disconnect is not None:
+            call.on_disconnect()
 
     def _is_overdue(self, now: float) -> bool:
         if self.call is not None or self._is_closing:
@@ -266,9 +266,9 @@
             h11.MUST_CLOSE,
         )
         if is_request_complete and not hub.has_unread(self._sock):
-            hub.shut(self._sock)
+            hub.close_when_sent(self._sock)
         else:
-            lingering.LingeringClose(
+            lingering_close.LingeringClose(
                 hub, self._server.timers, self._sock, self
             )
 
@@ -330,7 +330,7 @@
         self._server.dispatch(call)
 
     def _head_bytes(self, status: int, fields: list) -> bytes:
-        if self._server.closing or self.call.close_after:
+        if self._server.closing or self.call.close_after_response:
             fields = [*fields, ("Connection", "close")]
         headers = http_messages.encode_fields(fields)
         event = h11.Response(status_code=status, headers=headers)
@@ -353,7 +353,7 @@
             self.is_receiving = True
             self._server.timers.call_later(0, self._parse_received)
         elif at_end:
-            self._server.hub.shut(self._sock)
+            self._server.hub.close_when_sent(self._sock)
 
     def _reject(self, status: int) -> None:
         """Answer a request that can't be read, and close the connection."""
--- a/postspring/transport/sockets.py
+++ b/postspring/transport/sockets.py
@@ -16,10 +16,10 @@
 from circuits import handler
 from circuits.net import events
 
+from postspring.transport import connecting_hub
 from postspring.transport import connection_handler
-from postspring.transport import opening
+from postspring.transport import send_windows
 from postspring.transport import timers
-from postspring.transport import windows
 
 __all__ = ["ConnectionHandler", "SocketHub"]
 
@@ -36,7 +36,7 @@
 LISTENER_PAUSE_SECONDS = 0.05
 
 
-class SocketHub(opening.ConnectingHub):
+class SocketHub(connecting_hub.ConnectingHub):
     """Opens, accepts, reads and writes TCP connections.
 
     Parameters
@@ -80,7 +80,7 @@
         """Send bytes at once; buffer those that the kernel does not take."""
         if sock not in self._handler_by_socket:
             return
-        if len(data) > windows.MIN_WATCHED_BYTES:
+        if len(data) > send_windows.MIN_WATCHED_BYTES:
             self._send_windows.watch(sock)
         if not self._buffers[sock]:
             try:
@@ -127,13 +127,13 @@
         """Stop reading a connection that is read at intervals."""
         self._paced.pop(sock, None)
 
-    def hold(self, sock: socket.socket) -> None:
-        """Stop reading a connection until :meth:`unpace` is called."""
+    def pause_reading(self, sock: socket.socket) -> None:
+        """Stop reading a connection until :meth:`resume_reading` is called."""
         self._paced.pop(sock, None)
         if self._poller.isReading(sock):
             self._poller.removeReader(sock)
 
-    def unpace(self, sock: socket.socket) -> None:
+    def resume_reading(self, sock: socket.socket) -> None:
         """Read a connection whenever it has input, as at the start."""
         if sock in self._handler_by_socket and not self._poller.isReading(
             sock
@@ -148,7 +148,7 @@
         if sock in self._handler_by_socket:
             self._handler_by_socket[sock] = new_handler
 
-    def shut(self, sock: socket.socket) -> None:
+    def close_when_sent(self, sock: socket.socket) -> None:
         """Close a connection once its buffered bytes are sent."""
         if sock.fileno() >= 0:
             self.close(sock)
@@ -190,7 +190,7 @@
             if not self._accept():
                 return
 
-    def refuse_new(self) -> None:
+    def stop_accepting(self) -> None:
         """Close the listener; open connections remain."""
         if self._listening and self._sock is not None:
             self._poller.discard(self._sock)
@@ -257,7 +257,7 @@
     def _on_accept_done(self, sock, fire_connect_event=True):
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        conn_handler = opening.call_safely(self._on_accept, sock)
+        conn_handler = connecting_hub.call_safely(self._on_accept, sock)
         if conn_handler is None:
             sock.close()
             return
@@ -311,9 +311,9 @@
             conn_handler.unsent_discarded(unsent)
         if broken_by is not None:
             timed_out = broken_by.errno == errno.ETIMEDOUT
-            opening.call_safely(conn_handler.broken, timed_out)
+            connecting_hub.call_safely(conn_handler.broken, timed_out)
         else:
-            opening.call_safely(conn_handler.closed)
+            connecting_hub.call_safely(conn_handler.closed)
 
     # -- own ------------------------------------------------------------------
 
--- a/postspring/transport/tests/test_ends.py
+++ b/postspring/transport/tests/test_failures.py
@@ -111,7 +111,7 @@
 
         def on_open(sock):
             opened.append(sock)
-            self.hub.shut(sock)
+            self.hub.close_when_sent(sock)
             return transport.ConnectionHandler()
 
         self.open(on_open)
@@ -124,7 +124,7 @@
         self.open(lambda sock: opened.append(sock) or FailingHandler())
         self.run_loop_until(lambda: opened)
         with self.assertLogs("postspring.transport", "ERROR"):
-            self.hub.shut(opened[0])
+            self.hub.close_when_sent(opened[0])
         self.assertEqual([], self.hub._clients)
 
     def test_on_error_that_raises_is_logged(self):
--- a/postspring/transport/tests/test_http_server.py
+++ b/postspring/transport/tests/test_http_server.py
@@ -24,13 +24,13 @@
     def open_call(self):
         """Send a request and return the call."""
         self.edge.ask(self.caller)
-        self.edge.turn_until(lambda: self.edge.calls)
+        self.edge.run_loop_until(lambda: self.edge.calls)
         return self.edge.calls.pop()
 
     def complete_call(self, body=b""):
         """Send a request and wait for its complete response."""
         self.open_call().respond(200, [], body)
-        self.edge.turn_until(lambda: self.caller.answer.whole)
+        self.edge.run_loop_until(lambda: self.caller.answer.complete)
 
     @property
     def is_closed(self):
@@ -45,52 +45,52 @@
         self.complete_call()
         self.edge.ask(self.caller)
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
-        self.edge.turn_until(lambda: self.edge.calls)
+        self.edge.run_loop_until(lambda: self.edge.calls)
         self.edge.calls.pop().respond(200, [])
-        self.edge.turn_until(lambda: self.caller.answer.settled)
-        self.assertTrue(self.caller.answer.whole)
+        self.edge.run_loop_until(lambda: self.caller.answer.settled)
+        self.assertTrue(self.caller.answer.complete)
 
     def test_partial_request_is_completed_after_a_pause(self):
         self.caller.send_raw(b"POST / HTTP/1.1\r\nHost: a\r\n")
-        self.edge.turn()
+        self.edge.run_loop()
         self.caller.send_raw(b"Content-Length: 2\r\n\r\nab")
         self.edge.pass_time(self.edge.limits.header_seconds + 1)
-        self.edge.turn_until(lambda: self.edge.calls or self.is_closed)
+        self.edge.run_loop_until(lambda: self.edge.calls or self.is_closed)
         self.assertEqual(b"ab", self.edge.calls[0].body)
 
     def test_idle_connection_is_closed(self):
         self.complete_call()
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
-        self.edge.turn_until(lambda: self.caller.answer.closed)
+        self.edge.run_loop_until(lambda: self.caller.answer.closed)
         self.assertEqual([], self.interrupted)
 
     def test_slow_request_gets_status_408(self):
         self.caller.send_raw(b"POST / HTTP/1.1\r\nHost: a\r\n")
-        self.edge.turn()
+        self.edge.run_loop()
         self.edge.pass_time(self.edge.limits.header_seconds + 1)
-        self.edge.turn_until(lambda: self.caller.received)
+        self.edge.run_loop_until(lambda: self.caller.received)
         self.assertIn(b"408", self.caller.received)
 
     def test_connection_with_unsent_response_is_not_idle(self):
         self.open_call().respond(200, [], b"x" * LONG_RESPONSE_BYTES)
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
-        self.edge.turn(50)
-        self.edge.turn_until(lambda: self.caller.answer.settled)
-        self.assertTrue(self.caller.answer.whole)
+        self.edge.run_loop(50)
+        self.edge.run_loop_until(lambda: self.caller.answer.settled)
+        self.assertTrue(self.caller.answer.complete)
         self.edge.ask(self.caller)
-        self.edge.turn_until(lambda: self.edge.calls or self.is_closed)
+        self.edge.run_loop_until(lambda: self.edge.calls or self.is_closed)
         self.assertEqual(1, len(self.edge.calls))
 
     def test_idle_time_starts_when_response_is_sent(self):
         """It was once closed, under load, right after its long response."""
         self.open_call().respond(200, [], b"x" * LONG_RESPONSE_BYTES)
         self.edge.pass_time(self.edge.limits.idle_seconds + 1)
-        self.edge.turn(50)
-        self.edge.turn_until(lambda: self.caller.answer.settled)
+        self.edge.run_loop(50)
+        self.edge.run_loop_until(lambda: self.caller.answer.settled)
         self.edge.pass_time(self.edge.limits.idle_seconds / 2)
-        self.edge.turn(50)
+        self.edge.run_loop(50)
         self.edge.ask(self.caller)
-        self.edge.turn_until(lambda: self.edge.calls or self.is_closed)
+        self.edge.run_loop_until(lambda: self.edge.calls or self.is_closed)
         self.assertEqual(1, len(self.edge.calls))
 
 
@@ -112,19 +112,19 @@
                 pass
             return not data
 
-        self.edge.turn_until(sent)
+        self.edge.run_loop_until(sent)
         # The server has to read everything; else a reset could go unnoticed.
-        self.edge.turn_until(lambda: self.edge.callers.unread_count == 0)
+        self.edge.run_loop_until(lambda: self.edge.callers.unread_count == 0)
         sock.setblocking(True)
         self.assertTrue(sock.recv(1000).startswith(b"HTTP/1.1 413"))
 
     def test_lingering_connection_is_closed_after_a_timeout(self):
         self.caller.send_raw(b"GET / HTTP/1.1\r\nno field\r\n\r\n")
-        self.edge.turn_until(lambda: self.caller.received)
-        self.edge.turn()
+        self.edge.run_loop_until(lambda: self.caller.received)
+        self.edge.run_loop()
         self.assertFalse(self.is_closed)
         self.edge.pass_time(3.0)
-        self.edge.turn_until(lambda: self.is_closed)
+        self.edge.run_loop_until(lambda: self.is_closed)
 
 
 class HalfClosedTest(ServerCase):
@@ -138,9 +138,9 @@
     def test_open_request_is_aborted(self):
         call = self.open_call()
         notifications = []
-        call.on_gone = lambda: notifications.append(True)
+        call.on_disconnect = lambda: notifications.append(True)
         self.caller.end_sending()
-        self.edge.turn_until(lambda: notifications)
+        self.edge.run_loop_until(lambda: notifications)
         self.assertTrue(call.gone)
         self.assertEqual(
             [(transport.EndedBy.CALLER, call, 0)],
@@ -153,10 +153,10 @@
     def test_complete_response_is_sent_to_its_end(self):
         self.open_call().respond(200, [], b"x" * LONG_RESPONSE_BYTES)
         self.caller.end_sending()
-        self.edge.turn(20)
-        self.edge.turn_until(lambda: self.caller.answer.settled)
-        self.assertTrue(self.caller.answer.whole)
-        self.edge.turn_until(lambda: self.is_closed)
+        self.edge.run_loop(20)
+        self.edge.run_loop_until(lambda: self.caller.answer.settled)
+        self.assertTrue(self.caller.answer.complete)
+        self.edge.run_loop_until(lambda: self.is_closed)
         self.assertEqual([], self.interrupted)
 
 
@@ -167,7 +167,7 @@
         call = self.open_call()
         call.respond(200, [], b"x" * LONG_RESPONSE_BYTES)
         self.caller.close()
-        self.edge.turn_until(lambda: self.interrupted)
+        self.edge.run_loop_until(lambda: self.interrupted)
         interruption = self.interrupted[0]
         self.assertIs(call, interruption.call)
         self.assertGreater(interruption.unsent, 0)
@@ -176,8 +176,8 @@
         call = self.open_call()
         call.start(200, [])
         call.abort()
-        self.edge.turn_until(lambda: self.caller.answer.closed)
-        self.assertFalse(self.caller.answer.whole)
+        self.edge.run_loop_until(lambda: self.caller.answer.closed)
+        self.assertFalse(self.caller.answer.complete)
         self.assertEqual(
             [(transport.EndedBy.VM, call)],
             [
@@ -189,5 +189,5 @@
     def test_close_after_complete_response_is_not_reported(self):
         self.complete_call(b"x" * LONG_RESPONSE_BYTES)
         self.caller.close()
-        self.edge.turn_until(lambda: self.is_closed)
+        self.edge.run_loop_until(lambda: self.is_closed)
         self.assertEqual([], self.interrupted)
--- a/postspring/transport/tests/test_windows.py
+++ b/postspring/transport/tests/test_send_windows.py
@@ -12,8 +12,8 @@
 import time
 import unittest
 
+from postspring.transport import send_windows
 from postspring.transport.tests import test_http_client
-from postspring.transport import windows
 
 READ_DELAY_SECONDS = 2.5
 BODY = b"x" * 3_000_000
@@ -99,10 +99,12 @@
         self.assertLess(sum(received_sizes), len(LONG_BODY))
 
 
-CLOSED_WINDOW = windows.SendState(probes=1, unacknowledged=0, unsent=100)
-IN_FLIGHT = windows.SendState(probes=0, unacknowledged=3, unsent=100)
-UNANSWERED_PROBES = windows.SendState(probes=2, unacknowledged=0, unsent=100)
-ALL_ACKNOWLEDGED = windows.SendState(probes=0, unacknowledged=0, unsent=0)
+CLOSED_WINDOW = send_windows.SendState(probes=1, unacknowledged=0, unsent=100)
+IN_FLIGHT = send_windows.SendState(probes=0, unacknowledged=3, unsent=100)
+UNANSWERED_PROBES = send_windows.SendState(
+    probes=2, unacknowledged=0, unsent=100
+)
+ALL_ACKNOWLEDGED = send_windows.SendState(probes=0, unacknowledged=0, unsent=0)
 
 
 class SendWindowMonitorTest(test_http_client.LoopCase):
@@ -111,7 +113,7 @@
     def limits_after_checks(self, *states):
         """Return the connection's limit after each check, in ms."""
         left = list(states)
-        monitor = windows.SendWindowMonitor(
+        monitor = send_windows.SendWindowMonitor(
             self.timers, lambda sock: left.pop(0)
         )
         sock = socket.socket()
@@ -153,7 +155,7 @@
         self.assertEqual([800], self.limits_after_checks(None))
 
     def test_accepted_connections_are_not_monitored(self):
-        monitor = windows.SendWindowMonitor(
+        monitor = send_windows.SendWindowMonitor(
             self.timers, lambda sock: CLOSED_WINDOW
         )
         sock = socket.socket()
@@ -170,10 +172,12 @@
             socket.create_server(("127.0.0.1", 0)) as listening,
             socket.create_connection(listening.getsockname()) as sock,
         ):
-            self.assertTrue(windows.read_send_state(sock).is_all_acknowledged)
+            self.assertTrue(
+                send_windows.read_send_state(sock).is_all_acknowledged
+            )
 
     def test_other_sockets_have_no_state(self):
         one, other = socket.socketpair()
         with one, other, socket.socket() as unconnected:
-            self.assertIsNone(windows.read_send_state(one))
-            self.assertIsNone(windows.read_send_state(unconnected))
+            self.assertIsNone(send_windows.read_send_state(one))
+            self.assertIsNone(send_windows.read_send_state(unconnected))
--- a/postspring/upstreams/__init__.py
+++ b/postspring/upstreams/__init__.py
@@ -5,19 +5,19 @@
 from postspring.upstreams.directory import IncarnationId
 from postspring.upstreams.directory import Upstream
 from postspring.upstreams.directory import UpstreamId
+from postspring.upstreams.failure_detector import FailureDetector
+from postspring.upstreams.failure_detector import UpstreamObservation
 from postspring.upstreams.load import UpstreamLoad
 from postspring.upstreams.state import UpstreamState
-from postspring.upstreams.suspicion import Sighting
-from postspring.upstreams.suspicion import SuspicionBoard
 
 __all__ = [
     "Announcement",
     "Directory",
+    "FailureDetector",
     "IncarnationId",
-    "Sighting",
-    "SuspicionBoard",
     "Upstream",
     "UpstreamId",
     "UpstreamLoad",
+    "UpstreamObservation",
     "UpstreamState",
 ]
--- a/postspring/upstreams/directory.py
+++ b/postspring/upstreams/directory.py
@@ -185,7 +185,7 @@
         upstream = self.by_id.get(entry.id)
         if upstream is not None and upstream.born and entry.born is None:
             # Not written by this upstream: its entries have a start time.
-            self.hold_back(entry.id)
+            self.mark_unreadable(entry.id)
             return
         if self._is_stale(entry):
             return
@@ -204,7 +204,7 @@
             self._log("upstream leaving", upstream)
             self._on_retired(upstream)
 
-    def hold_back(self, upstream_id: UpstreamId) -> None:
+    def mark_unreadable(self, upstream_id: UpstreamId) -> None:
         """Give an upstream no new work, as its entry is invalid.
 
         Calls in flight continue; the next valid entry makes it usable again.
@@ -239,7 +239,7 @@
             self.announce(entry)
         unreadable = set(unreadable)
         for upstream_id in unreadable:
-            self.hold_back(upstream_id)
+            self.mark_unreadable(upstream_id)
         present = unreadable | {entry.id for entry in entries}
         for upstream_id in list(self.by_id):
             if upstream_id not in present:
@@ -292,7 +292,7 @@
         self._probed_at_by_service[service] = now
         return [random.choice(eligible)]
 
-    def is_out_of_reach(self, service: str) -> bool:
+    def is_service_unreachable(self, service: str) -> bool:
         """Return whether a service has upstreams and none is reachable."""
         now = self._now()
         eligible = self._eligible(service)
--- a/postspring/upstreams/suspicion.py
+++ b/postspring/upstreams/failure_detector.py
@@ -19,7 +19,7 @@
 
 from postspring.upstreams import load as load_module
 
-__all__ = ["Sighting", "SuspicionBoard"]
+__all__ = ["FailureDetector", "UpstreamObservation"]
 
 # Broken calls further apart than this aren't added up, in seconds: a report of
 # loads is valid for as long.
@@ -32,7 +32,7 @@
 RETENTION_SECONDS = 2 * load_module.SUSPECT_SECONDS
 
 
-class Sighting(NamedTuple):
+class UpstreamObservation(NamedTuple):
     """One VM's observation of an upstream.
 
     Parameters
@@ -58,20 +58,20 @@
     answered_at: float = -math.inf
 
 
-class SuspicionBoard:
+class FailureDetector:
     """Counts broken calls by upstream and names the suspected upstreams.
 
     Examples
     ========
 
-    >>> detector = SuspicionBoard()
-    >>> detector.take(Sighting("u", 0.0, broken_calls=1), now=1.0)
+    >>> detector = FailureDetector()
+    >>> detector.add(UpstreamObservation("u", 0.0, broken_calls=1), now=1.0)
     >>> detector.suspects(now=1.0)
     {}
-    >>> detector.take(Sighting("u", 0.0, broken_calls=1), now=1.1)
+    >>> detector.add(UpstreamObservation("u", 0.0, broken_calls=1), now=1.1)
     >>> detector.suspects(now=1.2)
     {'u': 1.1}
-    >>> detector.take(Sighting("u", 0.05, broken_calls=0), now=1.3)
+    >>> detector.add(UpstreamObservation("u", 0.05, broken_calls=0), now=1.3)
     >>> detector.suspects(now=1.3)
     {}
     """
@@ -79,7 +79,7 @@
     def __init__(self):
         self._record_by_upstream: dict[str, _ConnectionRecord] = {}
 
-    def take(self, observation: Sighting, now: float) -> None:
+    def add(self, observation: UpstreamObservation, now: float) -> None:
         """Add an observation, made ``observation.age`` seconds before now."""
         record = self._record_by_upstream.setdefault(
             observation.upstream, _ConnectionRecord()
--- a/postspring/upstreams/load.py
+++ b/postspring/upstreams/load.py
@@ -56,7 +56,7 @@
         Time at which a call's connection last broke; seconds.
     consecutive_broken_calls : int
         Broken calls since data of a response last arrived.
-    untold_breaks : int
+    unreported_broken_calls : int
         Broken calls that this VM has not reported to other VMs yet.
     suspected_at : float
         Time of the last broken call behind the suspicion; seconds.
@@ -76,7 +76,7 @@
     answered_at: float = -math.inf
     broken_at: float = -math.inf
     consecutive_broken_calls: int = 0
-    untold_breaks: int = 0
+    unreported_broken_calls: int = 0
     suspected_at: float = -math.inf
     suspected_until: float = 0.0
 
@@ -112,7 +112,7 @@
         self.answered_at = now
         self.consecutive_broken_calls = 0
 
-    def note_break(self, sent_at: float, now: float) -> None:
+    def note_broken_call(self, sent_at: float, now: float) -> None:
         """Record that a call's connection broke.
 
         The upstream gets no work for a while, unless data of a response
@@ -124,15 +124,15 @@
         --------
         >>> upstream = UpstreamLoad(concurrency=8)
         >>> upstream.note_answer(now=1.0)
-        >>> upstream.note_break(sent_at=0.9, now=1.1)
+        >>> upstream.note_broken_call(sent_at=0.9, now=1.1)
         >>> upstream.accepts(now=1.1)
         True
-        >>> upstream.note_break(sent_at=0.9, now=1.1)
+        >>> upstream.note_broken_call(sent_at=0.9, now=1.1)
         >>> upstream.accepts(now=1.9), upstream.accepts(now=3.2)
         (False, True)
         """
         self.broken_at = now
-        self.untold_breaks += 1
+        self.unreported_broken_calls += 1
         self.consecutive_broken_calls += 1
         is_repeated = (
             self.consecutive_broken_calls >= MIN_CONSECUTIVE_BROKEN_CALLS
@@ -149,7 +149,7 @@
         >>> upstream.suspect(broken_at=1.0)
         >>> upstream.accepts(now=1.9), upstream.accepts(now=3.1)
         (False, True)
-        >>> upstream.trust()
+        >>> upstream.clear_suspicion()
         >>> upstream.accepts(now=1.9)
         True
         """
@@ -165,44 +165,44 @@
         is_suspected = math.isfinite(self.suspected_at)
         return is_suspected and self.answered_at > self.suspected_at
 
-    def trust(self) -> None:
+    def clear_suspicion(self) -> None:
         """Clear the suspicion."""
         self.suspected_at = -math.inf
         self.suspected_until = 0.0
 
     def note_pace(self, seconds: float, now: float) -> None:
         """Add the seconds between two events of a stream to the pace."""
-        if self.pace_trust(now):
+        if self.pace_confidence(now):
             seconds = self.pace + PACE_SMOOTHING * (seconds - self.pace)
         self.pace = seconds
         self.pace_updated_at = now
 
-    def pace_trust(self, now: float) -> float:
+    def pace_confidence(self, now: float) -> float:
         """Return the confidence in the pace by its age, from 0 to 1."""
         return max(
             0.0, 1.0 - (now - self.pace_updated_at) / PACE_VALID_SECONDS
         )
 
-    def note_others(self, calls: int, now: float) -> None:
+    def note_peer_calls(self, calls: int, now: float) -> None:
         """Record how many calls other VMs have in flight there."""
         self.peer_calls = calls
         self.peer_calls_at = now
 
-    def knows_others(self, now: float) -> bool:
+    def has_recent_peer_calls(self, now: float) -> bool:
         """Return whether the number of other VMs' calls is recent."""
         return now - self.peer_calls_at < PEER_CALLS_VALID_SECONDS
 
-    def calls_of_all(self, now: float) -> int:
+    def total_calls(self, now: float) -> int:
         """Return the calls in flight there: own ones and known others.
 
         Examples
         --------
         >>> upstream = UpstreamLoad(concurrency=8, in_flight=1)
-        >>> upstream.note_others(5, now=0.0)
-        >>> upstream.calls_of_all(now=0.5), upstream.calls_of_all(now=1.5)
+        >>> upstream.note_peer_calls(5, now=0.0)
+        >>> upstream.total_calls(now=0.5), upstream.total_calls(now=1.5)
         (6, 1)
         """
-        peer_calls = self.peer_calls if self.knows_others(now) else 0
+        peer_calls = self.peer_calls if self.has_recent_peer_calls(now) else 0
         return self.in_flight + peer_calls
 
     def note_success(self) -> None:
--- a/postspring/upstreams/tests/test_directory.py
+++ b/postspring/upstreams/tests/test_directory.py
@@ -111,7 +111,7 @@
         self.note_unreachable("a")
         self.note_unreachable("b")
         self.assertEqual(["d"], self.usable())
-        self.assertFalse(self.directory.is_out_of_reach("s"))
+        self.assertFalse(self.directory.is_service_unreachable("s"))
 
     def test_they_are_usable_again_after_a_while(self):
         self.note_unreachable("a")
@@ -123,7 +123,7 @@
         self.directory.withdraw("d")
         self.note_unreachable("a")
         self.note_unreachable("b")
-        self.assertTrue(self.directory.is_out_of_reach("s"))
+        self.assertTrue(self.directory.is_service_unreachable("s"))
         self.assertEqual(1, len(self.directory.last_resort("s")))
         self.assertEqual([], self.directory.last_resort("s"))
         self.now += 0.6
@@ -213,17 +213,17 @@
         self.upstream = self.directory.by_id["a"]
 
     def test_it_gets_no_new_work_but_is_not_removed(self):
-        self.directory.hold_back("a")
+        self.directory.mark_unreadable("a")
         self.assertEqual(["b"], self.usable())
         self.assertEqual([], self.retired)
 
     def test_it_is_no_last_resort_either(self):
         for upstream_id in ("a", "b"):
-            self.directory.hold_back(upstream_id)
+            self.directory.mark_unreadable(upstream_id)
         self.assertEqual([], self.directory.last_resort("s"))
 
     def test_a_valid_entry_makes_it_usable_again(self):
-        self.directory.hold_back("a")
+        self.directory.mark_unreadable("a")
         self.announce("a", born=1000)
         self.assertEqual(["a", "b"], self.usable())
         self.assertIs(self.upstream, self.directory.by_id["a"])
@@ -233,7 +233,7 @@
         self.assertEqual(["b"], self.usable())
 
     def test_an_unknown_upstream_is_ignored(self):
-        self.directory.hold_back("c")
+        self.directory.mark_unreadable("c")
         self.assertEqual(["a", "b"], self.usable())
 
     def test_replace_all_does_not_remove_it(self):
--- a/postspring/upstreams/tests/test_suspicion.py
+++ b/postspring/upstreams/tests/test_failure_detector.py
@@ -10,43 +10,45 @@
     """Observations of broken calls and of responses are combined."""
 
     def setUp(self):
-        self.detector = upstreams.SuspicionBoard()
+        self.detector = upstreams.FailureDetector()
 
-    def observe(self, now, broken_calls=1, age=0.0):
+    def add_gauge(self, now, broken_calls=1, age=0.0):
         """Add an observation that arrives at a given time."""
-        self.detector.take(upstreams.Sighting("u", age, broken_calls), now)
+        self.detector.add(
+            upstreams.UpstreamObservation("u", age, broken_calls), now
+        )
 
     def test_one_broken_call_raises_no_suspicion(self):
-        self.observe(1.0)
+        self.add_gauge(1.0)
         self.assertEqual({}, self.detector.suspects(1.0))
 
     def test_two_broken_calls_raise_one(self):
-        self.observe(1.0)
-        self.observe(1.2)
+        self.add_gauge(1.0)
+        self.add_gauge(1.2)
         self.assertEqual({"u": 1.2}, self.detector.suspects(1.2))
 
     def test_two_broken_calls_far_apart_do_not(self):
-        self.observe(1.0)
-        self.observe(1.8)
+        self.add_gauge(1.0)
+        self.add_gauge(1.8)
         self.assertEqual({}, self.detector.suspects(1.8))
 
     def test_a_later_response_clears_the_suspicion(self):
-        self.observe(1.0, broken_calls=3)
-        self.observe(1.3, broken_calls=0, age=0.1)
+        self.add_gauge(1.0, broken_calls=3)
+        self.add_gauge(1.3, broken_calls=0, age=0.1)
         self.assertEqual({}, self.detector.suspects(1.3))
 
     def test_an_earlier_response_does_not(self):
-        self.observe(1.0, broken_calls=3)
-        self.observe(1.3, broken_calls=0, age=0.5)
+        self.add_gauge(1.0, broken_calls=3)
+        self.add_gauge(1.3, broken_calls=0, age=0.5)
         self.assertEqual({"u": 1.0}, self.detector.suspects(1.3))
 
     def test_broken_calls_before_a_response_do_not_count(self):
-        self.observe(1.0, broken_calls=0)
-        self.observe(1.1, broken_calls=3, age=0.2)
+        self.add_gauge(1.0, broken_calls=0)
+        self.add_gauge(1.1, broken_calls=3, age=0.2)
         self.assertEqual({}, self.detector.suspects(1.1))
 
     def test_old_observations_are_discarded(self):
-        self.observe(1.0, broken_calls=3)
+        self.add_gauge(1.0, broken_calls=3)
         self.assertEqual({}, self.detector.suspects(3.1))
         self.assertEqual({}, self.detector._record_by_upstream)
 
@@ -58,13 +60,13 @@
         self.upstream = upstreams.UpstreamLoad(concurrency=6)
 
     def test_a_broken_call_suspends_a_silent_upstream(self):
-        self.upstream.note_break(sent_at=1.0, now=1.01)
+        self.upstream.note_broken_call(sent_at=1.0, now=1.01)
         self.assertFalse(self.upstream.accepts(1.9))
         self.assertTrue(self.upstream.accepts(3.1))
 
     def test_it_does_not_suspend_one_that_answered_meanwhile(self):
         self.upstream.note_answer(1.005)
-        self.upstream.note_break(sent_at=1.0, now=1.01)
+        self.upstream.note_broken_call(sent_at=1.0, now=1.01)
         self.assertTrue(self.upstream.accepts(1.02))
 
     def test_a_suspected_upstream_is_avoided_for_a_while(self):
@@ -100,7 +102,7 @@
     def lost_turns(self, seed, exchanges_reports):
         """Return how many turns are lost at crashed engines."""
         rng = random.Random(seed)
-        detector = upstreams.SuspicionBoard()
+        detector = upstreams.FailureDetector()
         loads_by_vm = [
             [
                 upstreams.UpstreamLoad(concurrency=6)
@@ -123,7 +125,7 @@
             engine = min(rng.sample(engines, 3))
             if engine < self.CRASHED:
                 lost += 1
-                loads_by_vm[vm][engine].note_break(now, now)
+                loads_by_vm[vm][engine].note_broken_call(now, now)
             else:
                 loads_by_vm[vm][engine].note_answer(now)
             if exchanges_reports:
@@ -136,11 +138,17 @@
                 continue
             next_report_at[vm] = now + self.REPORT_SECONDS
             for engine, load in enumerate(upstream_loads):
-                if load.untold_breaks:
+                if load.unreported_broken_calls:
                     age = now - load.broken_at
-                    observation = (str(engine), age, load.untold_breaks)
-                    detector.take(upstreams.Sighting(*observation), now)
-                    load.untold_breaks = 0
+                    observation = (
+                        str(engine),
+                        age,
+                        load.unreported_broken_calls,
+                    )
+                    detector.add(
+                        upstreams.UpstreamObservation(*observation), now
+                    )
+                    load.unreported_broken_calls = 0
             suspects = detector.suspects(now)
             for engine, load in enumerate(upstream_loads):
                 if str(engine) in suspects:
--- a/postspring/web/server.py
+++ b/postspring/web/server.py
@@ -47,8 +47,8 @@
 
     Respond with :meth:`respond` or :meth:`respond_json`, or with
     :meth:`start_stream`, :meth:`send` and :meth:`finish`.  If the caller
-    disconnects before the response is complete, ``on_gone`` is called and
-    these methods do nothing from then on.
+    disconnects before the response is complete, ``on_disconnect`` is called
+    and these methods do nothing from then on.
     """
 
     def __init__(self, server: "WebServer", request: Any, response: Any):
@@ -58,7 +58,7 @@
         self.gone = False
         self.answered = False
         self.streaming = False
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.method: str = request.method
         self.path: str = request.path
         self.body: bytes = request.body.read()
@@ -230,7 +230,7 @@
             for sock in listener._clients
         )
 
-    def refuse_new(self) -> None:
+    def stop_accepting(self) -> None:
         """Stop accepting connections; established ones continue.
 
         Connections in the listener's backlog are accepted first, because
@@ -312,8 +312,8 @@
         if incoming is None:
             return
         incoming.gone = True
-        if incoming.on_gone is not None:
-            incoming.on_gone()
+        if incoming.on_disconnect is not None:
+            incoming.on_disconnect()
 
     @handler("request", priority=1)
     def _on_request(self, event, request, response, *peer_certificate):
--- a/postspring/web/tests/test_stop.py
+++ b/postspring/web/tests/test_stop.py
@@ -42,7 +42,7 @@
 
     def test_connection_in_backlog_is_served(self):
         self.caller.sendall(REQUEST)
-        self.web.refuse_new()
+        self.web.stop_accepting()
         self.run_loop()
         self.assertEqual(1, len(self.requests))
         self.requests[0].respond(200, b"hi")
--- a/spec/lapsed.pml
+++ b/spec/lapsed.pml
@@ -14,7 +14,7 @@
  * the time anew.  LOSE_ANSWER is no fault of the rule but its premise: a call
  * that the log took and whose answer is lost looks like one that it did not
  * take.  NEVER_WITHOUT says that the rule lets such upstreams get work.
- * Kept by keyedlog/follower.py, front/upstream_list.py,
+ * Kept by keyedlog/follower.py, front/upstream_follower.py,
  * upstreams/directory.py.
  */
 
