--- a/spec/absence.pml
+++ b/spec/absence.pml
@@ -100,8 +100,8 @@
         announced[me] = false;
         announcing[me] = true }
     /* A long time after: longer than a question takes.  It may be too short
-     * for a copy to get into the log, but not so short that all keepers of a
-     * turn are lost one after the other. */
+     * for a replica to get into the log, but not so short that all holders of
+     * a turn are lost one after the other. */
     :: atomic { !is_asking && (forgot[me] == FORGOT_OTHERS ||
             (forgot[me] == FORGOT_IT && (logged || anybody_holds))) ->
         forgot[me] = 0 }
--- a/spec/chains.pml
+++ b/spec/chains.pml
@@ -9,7 +9,8 @@
  * Faults to be found: RECORD_ALONE, the turn's own record is enough;
  * WORD_OF_TURN, another VM that recorded the turn without what precedes it is
  * taken to have recorded all.  ENDS_LOGGED says that turns that go on from held
- * ones do end as logged.  Kept by histories/turn_recorder.py, histories/held_turns.py.
+ * ones do end as logged.  Kept by histories/turn_recorder.py and
+ * histories/held_turns.py.
  */
 
 #define TURNS 3
--- a/spec/handover.pml
+++ b/spec/handover.pml
@@ -1,9 +1,9 @@
-/* VMs that stop while the log is away: one turn stands with two of four VMs,
- * and is never recorded.  VMs stop in any order, also several at once, and do
- * not come back; one at least stays.  A VM that stops gives what it holds to
- * two VMs that stay, or to the only one, and ends after that.  Requests that
- * are under way take effect later, as long as who was asked is there.  The
- * turn must never be lost.  See docs/MODEL.md.
+/* VMs that stop while the log is unavailable: one turn stands with two of four
+ * VMs, and is never recorded.  VMs stop in any order, also several at once,
+ * and do not come back; one at least stays.  A VM that stops gives what it
+ * holds to two VMs that stay, or to the only one, and ends after that.
+ * Requests that are under way take effect later, as long as who was asked is
+ * there.  The turn must never be lost.  See docs/MODEL.md.
  */
 
 #define VMS 4
--- a/spec/lapsed.pml
+++ b/spec/lapsed.pml
@@ -1,15 +1,16 @@
-/* Upstreams whose entries lapsed while the log was away: none gets work
+/* Upstreams whose entries lapsed while the log was unavailable: none gets work
  * BOUND or more after the log acknowledged, once back, that it left.
  *
- * The log goes away once and comes back.  Meanwhile the entry may lapse; one
- * that lives writes it again, one that leaves changes nothing that is read.
+ * The log becomes unavailable once and comes back.  Meanwhile the entry may
+ * lapse; one that lives writes it again, one that leaves changes nothing that
+ * is read.
  * A call of the VM reaches the log at any time after it was asked, and the
  * answer comes at any time after that.  While the VM has lost the log, calls
  * may also fail without being made; a log that is back may refuse some.
  *
  * Faults to be found: COUNT_REGAINED, the time begins when the VM hears the
  * log; SWEEP, it ends when something looks, and not when a request is sent;
- * COUNT_UNMADE, a call that was not made shows the log to be away;
+ * COUNT_UNMADE, a call that was not made shows the log to be unavailable;
  * COUNT_BUSY, one that the log refused does; RENEW, each failed call begins
  * the time anew.  LOSE_ANSWER is no fault of the rule but its premise: a call
  * that the log took and whose answer is lost looks like one that it did not
