--- a/postspring/forwarding/budgeted_call.py
+++ b/postspring/forwarding/budgeted_call.py
@@ -37,7 +37,7 @@
 
     During an outage of the log, a VM that holds tokens of the program's
     budget runs its turns; the other VMs relay them to it.  If no VM holds
-    any, this VM may open an offline budget: it spends what is left of the
+    any, this VM may open an offline account: it spends what is left of the
     program's budget, and records that when the log is back.
     """
 
@@ -130,10 +130,10 @@
             self._close(refusals.Refusal.UNKNOWN_OUTCOME)
 
     def _check_unsettled(self) -> None:
-        """Run the turn unless offline budgets spent what it would need.
+        """Run the turn unless offline accounts spent what it would need.
 
         A VM may open a turn in the log before another VM has recorded what
-        it spent from an offline budget: a program used 1,368 tokens of a
+        it spent from an offline account: a program used 1,368 tokens of a
         budget of 864.  A turn that is charged to a reserve or to an offline
         budget needs no check, as its tokens are charged already.
         """
@@ -255,7 +255,7 @@
         self._close(refusals.Refusal.BUDGET_RESERVED)
 
     def _begin_offline_budget(self, finding: ports.Finding) -> None:
-        """Open an offline budget for the program, as the log is away.
+        """Open an offline account for the program, as the log is unavailable.
 
         Neither this VM nor the VMs that call the log for it reach the
         program's records, so it assumes that no VM does: tokens that no VM
@@ -263,7 +263,7 @@
 
         If the answers of the other VMs leave that uncertain, the program
         gets the one turn by which its budget may be exceeded, and only if
-        no VM remembers that another one asked to open an offline budget:
+        no VM remembers that another one asked to open an offline account:
         otherwise successive VMs exceeded the budget by one turn each.
         """
         journal = self._journal
--- a/postspring/forwarding/ports.py
+++ b/postspring/forwarding/ports.py
@@ -180,8 +180,9 @@
     workspace: str = ""
 
 
-# An offline budget may be opened despite these doubts: the list of VMs can't
-# be read while the log is away, and a VM asks all others before it opens one.
+# An offline account may be opened despite these doubts: the list of VMs can't
+# be read while the log is unavailable, and a VM asks all others before it
+# opens one.
 _DOUBTS_IGNORED_OFFLINE = {certainty.Doubt.OLD_LIST}
 
 
@@ -190,9 +191,9 @@
 
     ``TAKER``: find a VM that can run the turn.  ``TURN``: find out whether
     the turn exists; the list of VMs is read first, as a VM may have joined.
-    ``OFFLINE``: find out whether an offline budget of the program may be
-    opened here while the log is away.  ``UNSETTLED``: find the tokens that
-    other VMs spent and the log does not charge yet.
+    ``OFFLINE``: find out whether an offline account of the program may be
+    opened here while the log is unavailable.  ``UNSETTLED``: find the tokens
+    that other VMs spent and the log does not charge yet.
     """
 
     TAKER = "taker"
@@ -221,7 +222,7 @@
     doubts : tuple of Doubt
         Reasons why a VM may hold a turn that no answer contains.
     has_gone_on : bool
-        Another VM has asked before whether it may open an offline budget of
+        Another VM has asked before whether it may open an offline account of
         the program.
     is_known : bool
         A VM has turns of the program.
@@ -229,20 +230,20 @@
         All VMs of this data centre have answered, and neither this VM nor
         any that answered was started too recently.
     is_deferred : bool
-        Another VM may open an offline budget of the program first.
+        Another VM may open an offline account of the program first.
     is_known_turn : bool
         A VM has the turn that this one continues.
     charged : int
         Tokens that records charge to the program, as far as these VMs have
         read them.
     offline_tokens : int
-        Tokens in offline budgets of the program at other VMs, including
+        Tokens in offline accounts of the program at other VMs, including
         spent ones that the log does not charge yet.
     unsettled : dict
-        Tokens of turns that ran on offline budgets, by turn; the log may
+        Tokens of turns that ran on offline accounts, by turn; the log may
         not charge them yet.
     offline_tokens_left : int
-        Tokens that offline budgets may still spend.
+        Tokens that offline accounts may still spend.
     """
 
     taker: upstreams.Upstream | None = None
--- a/postspring/histories/tests/test_journal.py
+++ b/postspring/histories/tests/test_journal.py
@@ -322,7 +322,7 @@
     def test_no_offline_account_is_used(self):
         # If a throttling log counted as unavailable, a program would spend
         # from an offline account while other VMs charge turns in the log, and
-        # exceed its budget (see test_failover, test_a_busy_log_...).
+        # exceed its budget (see test_failover, test_busy_log_is_not_down).
         journal = self.one.journal
         self.one.open("a")
         self.one.complete("a")
--- a/postspring/histories/tests/test_location.py
+++ b/postspring/histories/tests/test_location.py
@@ -1,10 +1,11 @@
 """A completed turn of another program whose location is not recorded.
 
 These tests guard against 404 after a complete answer (shown by
-front/tests/test_places.py). A VM stopped holding a turn when its record was in
-its program's partition, though its location was not recorded yet; and a VM
-that had read the record held no replica, but answered that it did. A caller
-that continued the turn under another program then found it nowhere.
+front/tests/test_unrecorded_locations.py). A VM stopped holding a turn when its
+record was in its program's partition, though its location was not recorded
+yet; and a VM that had read the record held no replica, but answered that it
+did. A caller that continued the turn under another program then found it
+nowhere.
 """
 
 from postspring import histories
--- a/postspring/upstreams/failure_detector.py
+++ b/postspring/upstreams/failure_detector.py
@@ -5,7 +5,7 @@
 that upstream yet loses a call that must not be repeated, and the program with
 it; placement even prefers a crashed upstream, as it has no calls in flight.
 In a model of 195 VMs and 31 upstreams, four of them crashed, the exchange
-keeps the lost calls below a third (tests/test_suspicion.py).
+keeps the lost calls below a third (tests/test_failure_detector.py).
 
 VMs report calls whose connection broke within their data centre and between
 data centres; the first reports come from streams in progress.  Two broken
