--- a/postspring/forwarding/plain.py
+++ b/postspring/forwarding/plain.py
@@ -1,8 +1,8 @@
-"""Plain calls: passed on as they are, with no record."""
+"""Plain calls, which are forwarded without a record in the log."""
 
-from postspring.forwarding import choice
 from postspring.forwarding import delivery as delivery_module
-from postspring.forwarding import dispatch
+from postspring.forwarding import delivery_context
+from postspring.forwarding import outbound_call
 from postspring.forwarding import outcome as outcome_module
 from postspring.forwarding import ports
 from postspring.forwarding import refusals
@@ -16,6 +16,8 @@
 class PlainCall(relay.CallerRelay):
     """A call of a tool or a plain service, or a stream without a program.
 
+    A turn that is relayed to another VM is also forwarded as a plain call.
+
     Parameters
     ==========
 
@@ -25,7 +27,7 @@
 
     def __init__(
         self,
-        dispatcher: dispatch.Dispatcher,
+        context: delivery_context.DeliveryContext,
         call: transport.IncomingCall,
         facts: ports.CallFacts,
         route: routing.Route,
@@ -33,28 +35,30 @@
         outcome: outcome_module.Outcome,
         **options,
     ):
-        super().__init__(dispatcher, call, facts, outcome)
+        super().__init__(context, call, facts, outcome)
         self._route = route
-        outbound = choice.OutboundCall(call, facts, call.body, **options)
+        outbound = outbound_call.OutboundCall(
+            call, facts, call.body, **options
+        )
         self.delivery = delivery_module.Delivery(
-            dispatcher, outbound, route, deadline, self
+            context, outbound, route, deadline, self
         )
 
     def start(self) -> None:
-        """Send the call."""
-        self._call.on_gone = self._gone
+        """Send the call to an upstream."""
+        self._call.on_disconnect = self._on_caller_gone
         self.delivery.start()
 
     def stream_ended(self) -> None:
-        """Complete the stream."""
+        """Complete the answer to the caller."""
         self._call.finish()
         self.report("answered")
 
-    def _gone(self) -> None:
-        """The caller left: work that nobody waits for is broken off.
+    def _on_caller_gone(self) -> None:
+        """Cancel the call, as the caller closed its connection.
 
-        A call that may not be repeated goes on: its effect may be wanted
-        all the same.
+        A call that may run only once continues, as the caller may still
+        want its effect.
         """
         if self._route.kind is routing.CallKind.ONCE:
             self.delivery.detach()
@@ -63,5 +67,5 @@
         self.report("caller_gone")
 
     def refused(self, refusal: refusals.Refusal) -> None:
-        """Answer that the call was given up."""
+        """Answer the caller with the refusal."""
         self.refuse(refusal)
--- a/postspring/histories/claims.py
+++ b/postspring/histories/claims.py
@@ -1,49 +1,50 @@
-"""Claims: what this VM's records say of programs' accounts."""
+"""Claims that this VM writes into the records of programs' accounts."""
 
 import dataclasses
 
 from postspring.histories import accounts
+from postspring.histories import contributions
 from postspring.histories import fold as fold_module
 from postspring.histories import program as program_module
 from postspring.histories import records
-from postspring.histories import shares
 
-__all__ = ["Claims"]
+__all__ = ["ClaimWriter"]
 
-OPEN = shares.TurnState.OPEN
+OPEN = contributions.TurnState.OPEN
 
 
-class Claims:
-    """Writes claims into records, and hears what became of them.
+class ClaimWriter:
+    """Writes claims into records and applies the decisions on them.
 
     Explanation
     ===========
 
-    How much a VM reserves ahead is computed here, once, from what the VM
-    knows, and stands in the record as a number: computed from the records
-    before it, it would be another one for whoever reads fewer of them.
+    The VM that reserves tokens ahead computes their number once, from the
+    records that it knows, and writes it into its record. If other VMs computed
+    the number from the records before it, those that have read fewer records
+    would get another one.
 
     Parameters
     ==========
 
-    local : LocalAccounts
-        What the VM may spend.
+    local_accounts : LocalAccounts
+        Tokens that the VM may spend by itself.
     """
 
-    def __init__(self, local: accounts.LocalAccounts):
-        self._local = local
+    def __init__(self, local_accounts: accounts.LocalAccounts):
+        self._accounts = local_accounts
 
-    def opening(
+    def opening_record(
         self, known: program_module.Program, ticket: accounts.Ticket
     ) -> records.OpenedTurn:
-        """Return the record that opens a turn; the idle reserve goes back."""
-        returned = self._local.give_back(known)
-        own = known.reserve_by_author.get(self._local.author, 0)
-        granted = self._ask(
+        """Return the record that opens a turn and releases the idle tokens."""
+        returned = self._accounts.release_idle(known)
+        own = known.reserve_by_author.get(self._accounts.author, 0)
+        granted = self._request_reserve(
             known, ticket, own - returned, ticket.ceiling - returned
         )
         claim = records.Claim(
-            self._local.author,
+            self._accounts.author,
             ticket.ceiling,
             ticket.budget,
             granted,
@@ -51,52 +52,57 @@
         )
         return records.OpenedTurn(ticket.program, ticket.turn, claim)
 
-    def opened(
+    def note_opened(
         self,
         fold: fold_module.ProgramFold,
         record: records.OpenedTurn,
         ticket: accounts.Ticket,
-    ) -> tuple[shares.TurnState, accounts.Ticket]:
+    ) -> tuple[contributions.TurnState, accounts.Ticket]:
         """Return whether a turn may run, and its ticket.
 
-        A reserve that did not fit is named no more when the turn ends.
+        The ticket leaves out a reserve that did not fit, so the record of the
+        turn's end does not name it.
         """
         claim = record.claim
-        state, holds = fold.program(record.program).judge(record)
-        if state is OPEN and holds:
-            self._local.granted(record.program, claim.granted, holds)
+        state, reserve_fits = fold.program(record.program).decide(record)
+        if state is OPEN and reserve_fits:
+            self._accounts.note_granted(
+                record.program, claim.granted, reserve_fits
+            )
             granted = claim.granted
         else:
-            self._local.not_granted(record.program, claim.granted)
+            self._accounts.note_not_granted(record.program, claim.granted)
             granted = 0
         ticket = dataclasses.replace(
             ticket, granted=granted, returned=claim.returned
         )
         return state, ticket
 
-    def given_up(self, record: records.OpenedTurn) -> records.EndedTurn:
-        """Return the record that settles an opening that came to nothing."""
+    def withdrawal_record(
+        self, record: records.OpenedTurn
+    ) -> records.EndedTurn:
+        """Return the record that settles an opening whose turn never ran."""
         claim = record.claim._replace(ceiling=0, granted=0)
         return records.EndedTurn(record.program, record.turn, claim, 0)
 
-    def failed(self, record: records.OpenedTurn) -> records.EndedTurn:
-        """Return what settles an opening of which nothing is known."""
-        self._local.not_granted(record.program, record.claim.granted)
-        return self.given_up(record)
+    def note_failed(self, record: records.OpenedTurn) -> records.EndedTurn:
+        """Return the record that settles an opening of unknown outcome."""
+        self._accounts.note_not_granted(record.program, record.claim.granted)
+        return self.withdrawal_record(record)
 
-    def settling(
+    def settlement_claim(
         self,
         known: program_module.Program,
         ticket: accounts.Ticket,
         tokens: int,
     ) -> records.Claim:
-        """Return the claim of a turn's end; names what its opening did."""
+        """Return the claim of a turn's end, which includes its opening's."""
         from_reserve = (
             ticket.origin is accounts.Origin.RESERVE
             and ticket.budget is not None
         )
-        returned = self._local.give_back_unfit(known.id)
-        own = known.reserve_by_author.get(self._local.author, 0) - returned
+        returned = self._accounts.release_unfit(known.id)
+        own = known.reserve_by_author.get(self._accounts.author, 0) - returned
         used = -returned
         if from_reserve:
             own -= tokens
@@ -105,35 +111,35 @@
         else:
             used += tokens
         return records.Claim(
-            self._local.author,
+            self._accounts.author,
             ticket.ceiling,
             ticket.budget,
-            ticket.granted + self._ask(known, ticket, own, used),
+            ticket.granted + self._request_reserve(known, ticket, own, used),
             from_reserve,
             ticket.returned + returned,
         )
 
-    def settled(
+    def note_settled(
         self,
         fold: fold_module.ProgramFold,
-        record: records.WholeTurn | records.EndedTurn,
+        record: records.CompletedTurn | records.EndedTurn,
         ticket: accounts.Ticket,
     ) -> None:
-        """Take note that the record of a turn's end stands in the log."""
-        judgement = fold.program(record.program).judge(record)
-        self._local.granted(
+        """Note that the record of a turn's end is in the log."""
+        decision = fold.program(record.program).decide(record)
+        self._accounts.note_granted(
             record.program,
             record.claim.granted - ticket.granted,
-            judgement.holds,
+            decision.reserve_fits,
         )
-        self._local.settle(ticket, record.tokens)
+        self._accounts.note_settled(ticket, record.tokens)
 
     # -- own ------------------------------------------------------------------
 
-    def _ask(self, known, ticket, own: int, used: int) -> int:
-        asked = self._local.asked(known.id)
-        granted = known.room_ahead(
-            ticket.ceiling, ticket.budget, own + asked, used + asked
+    def _request_reserve(self, known, ticket, own: int, used: int) -> int:
+        requested = self._accounts.requested(known.id)
+        granted = known.reservable_tokens(
+            ticket.ceiling, ticket.budget, own + requested, used + requested
         )
-        self._local.ask(known.id, granted)
+        self._accounts.note_requested(known.id, granted)
         return granted
--- a/postspring/histories/journal.py
+++ b/postspring/histories/journal.py
@@ -1,10 +1,10 @@
-"""The journal: every turn that is opened, completed or given up.
+"""The journal: every turn that is opened, completed or ended.
 
-Any VM may work on any program.  Which turns there are is decided by the
-records in the log, and whether a turn may run by what stands before its
-own, so no VM owns a program and none has to be found or replaced.
-While the log is away, turns go on from what was reserved in it before, and
-whole turns are kept by other VMs too until they are recorded.
+Any VM may work on any program. The records in the log decide which turns there
+are, and the records before an opening decide whether its turn may run, so no
+VM owns a program and none has to be found or replaced. While the log is
+unavailable, turns run on tokens that were reserved in it before, and other VMs
+hold replicas of completed turns until they are recorded.
 """
 
 from collections.abc import Callable
@@ -13,21 +13,21 @@
 
 from postspring.histories import accounts
 from postspring.histories import claims
-from postspring.histories import completion
-from postspring.histories import copies
+from postspring.histories import contributions
+from postspring.histories import durability
 from postspring.histories import errors
 from postspring.histories import fold as fold_module
 from postspring.histories import handover
-from postspring.histories import held
-from postspring.histories import openings
+from postspring.histories import held_turns
 from postspring.histories import partitions
 from postspring.histories import ports
 from postspring.histories import reading
 from postspring.histories import recording
 from postspring.histories import records
-from postspring.histories import shares
-from postspring.histories import sizes as sizes_module
-from postspring.histories import whole_turns
+from postspring.histories import replicas
+from postspring.histories import size_limits as sizes_module
+from postspring.histories import turn_opener
+from postspring.histories import turn_recorder
 from postspring import keyedlog
 from postspring.transport import timers as timers_module
 
@@ -45,16 +45,16 @@
     log : KeyedLog
         The shared log.
     timers : Timers
-        For resending and timeout.
+        For retries and timeouts.
     author : str
-        This VM's incarnation: another one after each start.
+        This VM's incarnation, a new one after each start.
     replica_holders : ReplicaHolders
-        Keep copies of what is not in the log yet.
+        Other VMs, which hold replicas of records that the log lacks.
     catch_up_rate : callable
-        Returns with how many appends a second this VM may catch up when
-        the log is back.
+        Returns with how many appends a second this VM may catch up when the
+        log is available again.
     sizes : Sizes
-        What the log takes.
+        Size limits of the log.
     """
 
     def __init__(
@@ -63,8 +63,10 @@
         timers: timers_module.Timers,
         author: str,
         replica_holders: ports.ReplicaHolders | None = None,
-        catch_up_rate: Callable[[], float] = lambda: partitions.CATCH_UP_RATE,
-        sizes: sizes_module.Sizes = sizes_module.Sizes(),
+        catch_up_rate: Callable[[], float] = lambda: (
+            partitions.DEFAULT_CATCH_UP_RATE
+        ),
+        sizes: sizes_module.SizeLimits = sizes_module.SizeLimits(),
     ):
         self.sizes = sizes
         self._timers = timers
@@ -75,26 +77,29 @@
             recording.append_record, self._partitions
         )
         self.accounts = accounts.LocalAccounts(author)
-        self._claims = claims.Claims(self.accounts)
-        self._openings = openings.Openings(
-            self._claims, self._commit, self._settle_unrun
+        self._claim_writer = claims.ClaimWriter(self.accounts)
+        self._opener = turn_opener.TurnOpener(
+            self._claim_writer, self._commit, self._append_withdrawal
         )
         self.replica_holders = replica_holders or ports.NoReplicaHolders()
-        self._end_copies = copies.EndCopies(
+        self._ended_replicas = replicas.EndedTurnReplicas(
             timers,
             self.refresh_program,
-            lambda record: self._partitions.program(record.program).has_end(
-                record
-            ),
-            self._record_end_copy,
+            lambda record: self._partitions.program(
+                record.program
+            ).has_settlement(record),
+            self._append_ended_replica,
         )
-        self._held_by_ref = held.HeldTurns()
-        self._whole_turns = whole_turns.WholeTurns(
-            self._partitions, self._held_by_ref, self.known_turn, self._lost
+        self._held_by_ref = held_turns.HeldTurns()
+        self._recorder = turn_recorder.TurnRecorder(
+            self._partitions,
+            self._held_by_ref,
+            self.known_turn,
+            self._make_loss_reporter,
         )
         self._settling: dict[records.TurnRef, records.EndedTurn] = {}
         self._handover = handover.Handover(
-            lambda: self._owed,
+            lambda: self._unrecorded_records,
             lambda data, on_done: self.replica_holders.hand_over(
                 data, on_done
             ),
@@ -102,33 +107,35 @@
 
     @property
     def held(self) -> int:
-        """Number of whole turns whose records the log lacks."""
+        """Number of completed turns whose records this VM lacks."""
         return len(self._held_by_ref)
 
     @property
     def unrecorded(self) -> int:
         """Number of turns and charges that could be lost with this VM."""
-        missing = len(list(self._held_by_ref.missing))
-        return missing + len(self._settling) + len(self._end_copies)
+        turns = len(list(self._held_by_ref.unrecorded))
+        return turns + len(self._settling) + len(self._ended_replicas)
 
     @property
-    def _owed(self) -> list[records.WholeTurn | records.EndedTurn]:
+    def _unrecorded_records(
+        self,
+    ) -> list[records.CompletedTurn | records.EndedTurn]:
         return [
-            *self._held_by_ref.missing,
+            *self._held_by_ref.unrecorded,
             *self._settling.values(),
-            *self._end_copies.kept,
+            *self._ended_replicas.stored,
         ]
 
-    def hand_over_while(self, is_stopping: Callable[[], bool]) -> None:
-        """Give what the log lacks to VMs that stay, while this one stops."""
+    def start_handover(self, is_stopping: Callable[[], bool]) -> None:
+        """Send unrecorded records to VMs that keep running, on stopping."""
         self._timers.call_every(
-            handover.LOOK_SECONDS,
-            lambda: is_stopping() and self._handover.go_on(),
+            handover.CHECK_SECONDS,
+            lambda: is_stopping() and self._handover.send_next_batch(),
         )
 
-    def log_is_back(self) -> None:
-        """Do at once what waits for the log."""
-        self._partitions.log_is_back()
+    def on_log_recovered(self) -> None:
+        """Start the retries of all that waits for the log."""
+        self._partitions.on_log_recovered()
 
     # -- writing --------------------------------------------------------------
 
@@ -139,42 +146,45 @@
         ceiling: int,
         budget: int | None,
         timeout: float,
-        on_done: openings.OnOpened,
-        on_error: openings.OnError,
+        on_done: turn_opener.OnOpened,
+        on_error: turn_opener.OnError,
     ) -> None:
-        """Get the right to run a turn, from a reserve or from the log."""
+        """Get the right to run a turn, from a local account or the log."""
         known = self._partitions.program(program)
-        is_away = self._partitions.is_failing(
+        is_unresponsive = self._partitions.is_unresponsive(
             partitions.place_of_program(program)
         )
-        if not is_away:
-            self.accounts.close_home(program)
-        opened = accounts.Ticket(
+        if not is_unresponsive:
+            self.accounts.close_offline_account(program)
+        log_ticket = accounts.Ticket(
             program, turn, ceiling, budget, accounts.Origin.LOG
         )
         ref = records.TurnRef(program, turn)
-        used = self._openings.use_of_id(known, ref)
-        if used is not None:
-            on_done(used, opened)
+        conflict = self._opener.conflicting_state(known, ref)
+        if conflict is not None:
+            on_done(conflict, log_ticket)
             return
-        ticket = self.accounts.take(known, turn, ceiling, budget, is_away)
+        ticket = self.accounts.admit(
+            known, turn, ceiling, budget, is_unresponsive
+        )
         if ticket is not None:
-            self._openings.begin(ref)
-            on_done(shares.TurnState.OPEN, ticket)
-        elif known.is_spent(ceiling, budget):
-            # Settled turns only become more: no record can change it.
-            on_done(shares.TurnState.REFUSED, opened)
+            self._opener.note_running(ref)
+            on_done(contributions.TurnState.OPEN, ticket)
+        elif known.is_budget_exhausted(ceiling, budget):
+            # The tokens of settled turns never decrease: no record can make
+            # this turn fit.
+            on_done(contributions.TurnState.REFUSED, log_ticket)
         else:
-            if is_away:
+            if is_unresponsive:
                 timeout = min(timeout, reading.FAILING_TIMEOUT_SECONDS)
-            self._openings.open(known, opened, timeout, on_done, on_error)
+            self._opener.open(known, log_ticket, timeout, on_done, on_error)
 
-    def is_spent(
+    def is_budget_exhausted(
         self, program: records.ProgramId, ceiling: int, budget: int | None
     ) -> bool:
         """Return whether no turn of this size can ever run again."""
         known = self._partitions.program(program)
-        return known.is_spent(ceiling, budget)
+        return known.is_budget_exhausted(ceiling, budget)
 
     def end_turn(
         self,
@@ -183,169 +193,179 @@
         line: str = "",
         upstream: str = "",
     ) -> None:
-        """Settle a turn that is no part of the history.
+        """Settle a turn that is not part of the history.
 
         Parameters
         ----------
         line, upstream : str
-            Where the line's prompt is in memory now.
+            The turn's conversation, and the upstream that has its prompt in
+            memory now.
         """
         ref = records.TurnRef(ticket.program, ticket.turn)
-        self._openings.end(ref)
+        self._opener.note_stopped(ref)
         known = self._partitions.program(ticket.program)
-        known.note_place(line, upstream)
+        known.note_upstream(line, upstream)
         if ticket.origin is not accounts.Origin.LOG and not tokens:
-            self.accounts.settle(ticket, 0)
+            self.accounts.note_settled(ticket, 0)
             return
-        claim = self._claim(ticket, tokens)
+        claim = self._settlement_claim(ticket, tokens)
         record = records.EndedTurn(
             ticket.program, ticket.turn, claim, tokens, line, upstream
         )
-        self.accounts.spent(ticket, tokens)
-        # Lost, one of a home is not charged at all, and others too much.
+        self.accounts.note_spent(ticket, tokens)
+        # If this record is lost, an offline turn is not charged at all, and
+        # any other turn too much.
         self._settling[ref] = record
 
         def settled(fold: fold_module.ProgramFold) -> None:
             self._settling.pop(ref, None)
-            self._claims.settled(fold, record, ticket)
+            self._claim_writer.note_settled(fold, record, ticket)
 
-        lost = self._lost(ticket)
-        self._commit(record, recording.KEEP_SECONDS, settled, lost)
-        if ticket.origin is accounts.Origin.HOME:
-            # Nothing in the log charges it, and this VM may die first.
+        report_loss = self._make_loss_reporter(ticket)
+        self._commit(record, recording.KEEP_SECONDS, settled, report_loss)
+        if ticket.origin is accounts.Origin.OFFLINE:
+            # No record in the log charges it, and this VM may die before one
+            # does.
             data = records.encode_record(record)
-            self.replica_holders.keep(data, lambda copies: None)
+            self.replica_holders.replicate(data, lambda copies: None)
 
     def complete_turn(
         self,
         ticket: accounts.Ticket,
         parent: records.TurnRef | None,
         tokens: int,
-        given: bytes,
-        generated: bytes,
+        input_data: bytes,
+        output_data: bytes,
         upstream: str,
         on_done: Callable[[str], None],
-        timeout: float = completion.TIMEOUT_SECONDS,
+        timeout: float = durability.DEFAULT_TIMEOUT_SECONDS,
     ) -> Callable[[], None]:
-        """Add a whole turn to the history, and note where it stands.
+        """Add a completed turn to the history, and record its location.
 
-        ``on_done`` is told once that the turn is safe: ``logged``, or
-        ``held`` by other VMs until the log is back; or, after the timeout,
-        that it is kept ``nowhere`` but here.  The log is offered it still.
-        Returns what has it told at once.
+        ``on_done`` is called once with where the turn is stored: ``logged``;
+        or ``held`` by other VMs until the log is available again; or, after
+        the timeout, ``nowhere`` but here. Its append is retried in any case.
+        Returns a function that ends the wait at once.
         """
-        record = records.WholeTurn(
+        record = records.CompletedTurn(
             ticket.program,
             ticket.turn,
-            self._claim(ticket, tokens),
+            self._settlement_claim(ticket, tokens),
             parent,
             tokens,
-            given,
-            generated,
+            input_data,
+            output_data,
             upstream,
         )
-        self._openings.end(records.TurnRef(ticket.program, ticket.turn))
-        self.accounts.spent(ticket, tokens)
-        safe = completion.Completion(
+        self._opener.note_stopped(records.TurnRef(ticket.program, ticket.turn))
+        self.accounts.note_spent(ticket, tokens)
+        durability_wait = durability.DurabilityWait(
             self._timers,
             self.replica_holders,
             records.encode_record(record),
-            lambda: recording.is_away(self._partitions, record),
+            lambda: recording.is_unavailable(self._partitions, record),
             timeout,
             lambda: recording.is_late(self._partitions, record),
-            lambda seconds, on_answer: self._whole_turns.have_recorded(
+            lambda seconds, on_answer: self._recorder.record_elsewhere(
                 record, self.replica_holders, seconds, on_answer
             ),
         )
-        self._whole_turns.record_with_chain(
+        self._recorder.record_with_chain(
             record,
-            lambda fold: self._claims.settled(fold, record, ticket),
-            safe.logged,
+            lambda fold: self._claim_writer.note_settled(fold, record, ticket),
+            durability_wait.logged,
         )
-        safe.start(on_done)
-        return safe.end_now
+        durability_wait.start(on_done)
+        return durability_wait.finish_now
 
-    def keep_copy(self, data: bytes, is_log_away: bool = False) -> None:
-        """Keep another VM's record; see to it that it gets into the log.
+    def store_replica(
+        self, data: bytes, is_log_unavailable: bool = False
+    ) -> None:
+        """Hold a replica of another VM's record, and get it into the log.
 
         Parameters
         ----------
-        is_log_away : bool
-            Its author does not reach the log.
+        is_log_unavailable : bool
+            Whether its author can't reach the log.
 
         Raises
         ------
         MalformedRecord
-            If it is no record of a turn's end.
+            If it is not the record of a turn's end.
         """
         record = records.decode_record(data)
         if isinstance(record, records.EndedTurn):
-            self._end_copies.keep(record)
+            self._ended_replicas.add(record)
             return
-        _check_is_whole(record)
+        _check_is_completed(record)
         ref = records.TurnRef(record.program, record.turn)
         is_held = ref in self._held_by_ref
         if not is_held and not self._partitions.is_recorded(ref):
             self._held_by_ref.add(record)
-            lost = self._lost(record)
-            check = copies.CopyCheck(self, self._timers, record, lost)
+            report_loss = self._make_loss_reporter(record)
+            replica_check = replicas.ReplicaCheck(
+                self, self._timers, record, report_loss
+            )
             place = partitions.place_of_program(record.program)
-            is_urgent = is_log_away and self._partitions.is_quick(place)
-            names = {"program": record.program, "request": record.turn}
-            LOG.info("copy kept", extra=names | {"is_urgent": is_urgent})
-            check.start(is_urgent)
+            is_urgent = is_log_unavailable and self._partitions.is_fast(place)
+            fields = {"program": record.program, "request": record.turn}
+            LOG.info("copy kept", extra=fields | {"is_urgent": is_urgent})
+            replica_check.start(is_urgent)
 
-    def record_for_another(
+    def record_for_peer(
         self, turns: list[bytes], on_done: Callable[[], None]
     ) -> None:
-        """Append whole turns of a VM without the log, with their places.
+        """Append completed turns, with locations, for a VM without the log.
 
-        ``on_done`` is told once all of them stand there.
+        ``on_done`` is called once all of them are recorded.
 
         Raises
         ------
         MalformedRecord
-            If one is no record of a whole turn.
+            If one is not the record of a completed turn.
         """
         decoded = [records.decode_record(data) for data in turns]
         for record in decoded:
-            _check_is_whole(record)
-        self._whole_turns.record_for_another(decoded, on_done)
+            _check_is_completed(record)
+        self._recorder.record_for_peer(decoded, on_done)
 
-    def drop_copy(self, ref: records.TurnRef) -> None:
-        """Forget a copy whose records stand in the log."""
+    def drop_replica(self, ref: records.TurnRef) -> None:
+        """Drop a replica whose record and location are in the log."""
         self._held_by_ref.note_recorded(ref)
 
-    def record_copy(self, record: records.WholeTurn) -> None:
-        """Append a copy that is not in the log."""
-        self._whole_turns.record_copy(record, 0.0)
+    def append_replica(self, record: records.CompletedTurn) -> None:
+        """Append a replica that the log lacks."""
+        self._recorder.append_replica(record, 0.0)
 
-    def record_location(self, record: records.WholeTurn) -> None:
-        """Append where a copy stands whose place is not in the log."""
+    def append_replica_location(self, record: records.CompletedTurn) -> None:
+        """Append the location of a replica whose record is in the log."""
         ref = records.TurnRef(record.program, record.turn)
-        logged = functools.partial(self.drop_copy, ref)
-        lost = self._lost(record)
-        recording.append_location(self._partitions, record, logged, lost)
+        logged = functools.partial(self.drop_replica, ref)
+        report_loss = self._make_loss_reporter(record)
+        recording.append_location(
+            self._partitions, record, logged, report_loss
+        )
 
     # -- own ------------------------------------------------------------------
 
-    def _lost(self, item) -> openings.OnError:
-        """Return what reports a record that never got into the log."""
+    def _make_loss_reporter(self, item) -> turn_opener.OnError:
+        """Return the error handler that logs a record as lost."""
 
         def report(error: errors.HistoryError) -> None:
             ref = records.TurnRef(item.program, item.turn)
-            is_whole = isinstance(item, records.WholeTurn)
-            # Another VM may have recorded it, and it is told once.
-            is_lost = not is_whole or self._held_by_ref.is_missing(ref)
+            is_completed = isinstance(item, records.CompletedTurn)
+            # A turn that another VM has recorded is not lost, and a loss is
+            # logged once.
+            is_lost = not is_completed or self._held_by_ref.is_unrecorded(ref)
             self._held_by_ref.note_lost(ref)
             self._settling.pop(ref, None)
-            where = {"program": item.program, "request": item.turn}
+            fields = {"program": item.program, "request": item.turn}
             if is_lost:
-                LOG.error("record lost", extra=where | {"reason": str(error)})
+                LOG.error("record lost", extra=fields | {"reason": str(error)})
 
         return report
 
-    def _record_end_copy(
+    def _append_ended_replica(
         self, record: records.EndedTurn, on_done: Callable[[], None]
     ) -> None:
         self._commit(
@@ -355,15 +375,19 @@
             lambda error: on_done(),
         )
 
-    def _settle_unrun(self, record: records.EndedTurn) -> None:
-        lost = self._lost(record)
-        self._commit(record, recording.KEEP_SECONDS, lambda fold: None, lost)
+    def _append_withdrawal(self, record: records.EndedTurn) -> None:
+        report_loss = self._make_loss_reporter(record)
+        self._commit(
+            record, recording.KEEP_SECONDS, lambda fold: None, report_loss
+        )
 
-    def _claim(self, ticket: accounts.Ticket, tokens: int) -> records.Claim:
+    def _settlement_claim(
+        self, ticket: accounts.Ticket, tokens: int
+    ) -> records.Claim:
         known = self._partitions.program(ticket.program)
-        return self._claims.settling(known, ticket, tokens)
+        return self._claim_writer.settlement_claim(known, ticket, tokens)
 
 
-def _check_is_whole(record: records.Record) -> None:
-    if not isinstance(record, records.WholeTurn):
-        raise errors.MalformedRecord("not the end of a turn")
+def _check_is_completed(record: records.Record) -> None:
+    if not isinstance(record, records.CompletedTurn):
+        raise errors.MalformedRecord("not the record of a completed turn")
--- a/postspring/histories/partitions.py
+++ b/postspring/histories/partitions.py
@@ -1,4 +1,4 @@
-"""Which partition holds what, and the ones that this VM works on."""
+"""Partitions of programs and turns, and those that this VM works on."""
 
 from collections.abc import Callable
 import math
@@ -10,27 +10,28 @@
 from postspring.histories import program as program_module
 from postspring.histories import reachability
 from postspring.histories import records
-from postspring.histories import retry_pace
-from postspring.histories import sizes as sizes_module
+from postspring.histories import retry_pacer
+from postspring.histories import size_limits as sizes_module
 from postspring import keyedlog
 from postspring.transport import timers as timers_module
 
 __all__ = ["Partitions", "place_of_location", "place_of_program"]
 
-# Partitions that programs are spread over.  The more there are, the more
-# seldom two VMs write to one and have to read each other's records.  The
+# Partitions that programs are spread over. The more there are, the less often
+# two VMs append to the same one and have to read each other's records. The
 # platform has 100 topics of 24 partitions; 20 topics are left for others.
 PROGRAM_PARTITIONS = 1920
 LOCATION_PARTITIONS = 24
-# A partition that nobody used for this long is forgotten, and read again
-# when it is needed; seconds, above the retention of the users' routes.
-UNUSED_SECONDS = 90.0
+# A partition that was not used for this long is dropped, and read again when
+# it is needed; seconds, above the retention of the users' routes.
+IDLE_SECONDS = 90.0
 SWEEP_SECONDS = 10.0
-# When the log is back, more partitions than this are not tried at once but
-# one after the other: every VM does the same, and they share its rate.
-AT_ONCE = 8
-# Appends a second with which a VM catches up, unless it is told otherwise.
-CATCH_UP_RATE = 50.0
+# When the log is available again, up to this many partitions are retried at
+# once, and more of them one after the other: every VM does the same, and they
+# share the log's rate.
+MAX_IMMEDIATE_RETRIES = 8
+# Appends a second with which a VM catches up, unless configured otherwise.
+DEFAULT_CATCH_UP_RATE = 50.0
 
 _fold_type_by_subject = {
     keyedlog.Subject.PROGRAMS: fold_module.ProgramFold,
@@ -45,13 +46,13 @@
 
 
 def place_of_location(turn: records.TurnId) -> keyedlog.LogPlace:
-    """Return the partition that tells where a turn stands."""
+    """Return the partition that holds a turn's location."""
     number = xxhash.xxh64_intdigest(turn.encode()) % LOCATION_PARTITIONS
     return keyedlog.LogPlace(keyedlog.Subject.LOCATIONS, number)
 
 
 class Partitions:
-    """The partitions that this VM has folded, made when they are needed.
+    """The partitions that this VM has folded, created on demand.
 
     Parameters
     ==========
@@ -59,26 +60,26 @@
     catch_up_rate : callable
         Returns with how many appends a second this VM may catch up.
     sizes : Sizes
-        What the log takes.
+        Size limits of the log.
     """
 
     def __init__(
         self,
         log: keyedlog.KeyedLog,
         timers: timers_module.Timers,
-        catch_up_rate: Callable[[], float] = lambda: CATCH_UP_RATE,
-        sizes: sizes_module.Sizes = sizes_module.Sizes(),
+        catch_up_rate: Callable[[], float] = lambda: DEFAULT_CATCH_UP_RATE,
+        sizes: sizes_module.SizeLimits = sizes_module.SizeLimits(),
     ):
         self._sizes = sizes
-        self._pace = retry_pace.RetryPace(timers, catch_up_rate)
-        self._caught_up_at = -math.inf
+        self._retry_pacer = retry_pacer.RetryPacer(timers, catch_up_rate)
+        self._catch_up_ends_at = -math.inf
         self._log = log
-        self._answers = reachability.LogAnswers(log)
+        self._log_health = reachability.LogHealth(log)
         self._timers = timers
         self._by_place: dict[
             keyedlog.LogPlace, partition_module.Partition
         ] = {}
-        timers.call_every(SWEEP_SECONDS, self._forget_unused)
+        timers.call_every(SWEEP_SECONDS, self._drop_idle)
 
     def find(
         self, place: keyedlog.LogPlace
@@ -87,7 +88,7 @@
         return self._by_place.get(place)
 
     def get(self, place: keyedlog.LogPlace) -> partition_module.Partition:
-        """Return a partition; begin to work on it if that is new."""
+        """Return a partition, which is created if this VM lacks it."""
         partition = self._by_place.get(place)
         if partition is None:
             partition = partition_module.Partition(
@@ -95,78 +96,84 @@
                 self._timers,
                 place,
                 _fold_type_by_subject[place.subject],
-                self._answers,
-                self.log_is_back,
+                self._log_health,
+                self.on_log_recovered,
                 is_ordered=place.subject is keyedlog.Subject.PROGRAMS,
-                spread=self._pace.pause,
+                pace_retry=self._retry_pacer.allot_pause,
                 call_bytes=self._sizes.call,
             )
             self._by_place[place] = partition
         return partition
 
     def program(self, program: records.ProgramId) -> program_module.Program:
-        """Return a program as this VM knows it, which may be not at all."""
+        """Return a program as this VM knows it, empty if it is unknown."""
         partition = self.find(place_of_program(program))
         found = None
         if partition is not None:
             found = partition.fold.program_by_id.get(program)
         return found or program_module.Program(program)
 
-    def whole_turn(self, ref: records.TurnRef) -> program_module.Turn | None:
+    def completed_turn(
+        self, ref: records.TurnRef
+    ) -> program_module.Turn | None:
         """Return a turn of the history if this VM has folded it."""
         partition = self.find(place_of_program(ref.program))
-        return None if partition is None else partition.fold.whole_turn(ref)
+        return (
+            None if partition is None else partition.fold.completed_turn(ref)
+        )
 
     def is_recorded(self, ref: records.TurnRef) -> bool:
-        """Return whether a turn and its place are known to be recorded."""
+        """Return whether a turn and its location are known to be recorded."""
         partition = self.find(place_of_location(ref.turn))
-        if partition is None or self.whole_turn(ref) is None:
+        if partition is None or self.completed_turn(ref) is None:
             return False
         return ref.turn in partition.fold.program_by_turn
 
-    def is_failing(self, place: keyedlog.LogPlace) -> bool:
-        """Return whether a partition can't be reached, as far as known."""
-        return self._log.is_down or self.get(place).is_failing
+    def is_unresponsive(self, place: keyedlog.LogPlace) -> bool:
+        """Return whether a partition is known to be unavailable or late."""
+        return self._log.is_down or self.get(place).is_unresponsive
 
-    def is_away(self, place: keyedlog.LogPlace) -> bool:
+    def is_unavailable(self, place: keyedlog.LogPlace) -> bool:
         """Return whether a partition is known to fail, not just slow."""
-        return self._log.is_down or self.get(place).is_away
+        return self._log.is_down or self.get(place).is_unavailable
 
-    def is_quick(self, place: keyedlog.LogPlace) -> bool:
-        """Return whether a partition takes appends at once, as known."""
-        return not self.is_away(place) and self._answers.is_quick
+    def is_fast(self, place: keyedlog.LogPlace) -> bool:
+        """Return whether a partition is available and appends are fast."""
+        return not self.is_unavailable(place) and self._log_health.is_fast
 
-    def log_is_back(self) -> None:
-        """Do what waits for its next try, spread by the rate.
+    def on_log_recovered(self) -> None:
+        """Schedule all pending retries at the catch-up rate.
 
-        Every partition that gets through says so: what is on its way then
-        stays as it was dealt out.  What somebody waits for goes first.
+        Every partition whose call succeeds again calls this: while retries are
+        under way, their slots stay as allotted. Partitions that callers wait
+        for, or have waited for, come first.
         """
-        self._answers.note()
-        if self._timers.now() < self._caught_up_at:
+        self._log_health.note_answer()
+        if self._timers.now() < self._catch_up_ends_at:
             return
         waiting = [
             partition
             for partition in self._by_place.values()
             if partition.is_waiting
         ]
-        # Turns that callers had whole are kept by VMs only until then.
-        waiting.sort(key=lambda partition: not partition.was_awaited)
-        self._pace.restart()
-        pauses = [self._pace.pause(0.0) for partition in waiting]
+        # Until then only VMs hold turns whose callers have the complete
+        # answer.
+        waiting.sort(key=lambda partition: not partition.had_waiting_caller)
+        self._retry_pacer.restart()
+        pauses = [self._retry_pacer.allot_pause(0.0) for partition in waiting]
         if not pauses:
             return
-        self._caught_up_at = self._timers.now() + pauses[-1]
-        are_few = len(waiting) <= AT_ONCE
+        self._catch_up_ends_at = self._timers.now() + pauses[-1]
+        are_few = len(waiting) <= MAX_IMMEDIATE_RETRIES
         for partition, seconds in zip(waiting, pauses):
-            partition.retry_in(0.0 if are_few else seconds)
-            if partition.is_awaited:
-                partition.hurry()
+            partition.schedule_retry(0.0 if are_few else seconds)
+            if partition.has_waiting_caller:
+                partition.expedite_retry()
 
     # -- own ------------------------------------------------------------------
 
-    def _forget_unused(self) -> None:
-        oldest = self._timers.now() - UNUSED_SECONDS
+    def _drop_idle(self) -> None:
+        oldest = self._timers.now() - IDLE_SECONDS
         for place, partition in list(self._by_place.items()):
-            if partition.idle and partition.used_at < oldest:
+            if partition.is_idle and partition.last_used_at < oldest:
                 del self._by_place[place]
--- a/postspring/histories/program.py
+++ b/postspring/histories/program.py
@@ -1,42 +1,43 @@
-"""The program aggregate: a tree of turns and one account of tokens."""
+"""The program aggregate: a tree of turns and an account of tokens."""
 
 import dataclasses
 
+from postspring.histories import contributions
 from postspring.histories import records
-from postspring.histories import shares
 
 __all__ = ["Program", "Turn"]
 
-# Turns of the same size that a VM would like to have reserved.
-AHEAD_TURNS = 4
-# Turns that stay free for other VMs when one reserves ahead.
+# Turns of the same size for which a VM tries to have tokens reserved.
+RESERVE_TURNS = 4
+# Turns whose tokens stay free for other VMs when one reserves ahead.
 KEPT_FREE_TURNS = 2
-# One part in so many of the rest may be reserved by a VM.  A line of turns
-# goes through many VMs, and what a dead one has reserved is never free again.
-RESERVED_PART = 8
+# A VM may reserve one part in this many of the remaining budget. A
+# conversation's turns run on many VMs, and the reserve of a dead VM is never
+# released.
+RESERVE_DIVISOR = 8
 
 _RANK_BY_STATE = {
-    shares.TurnState.OPEN: 0,
-    shares.TurnState.ENDED: 1,
-    shares.TurnState.WHOLE: 2,
+    contributions.TurnState.OPEN: 0,
+    contributions.TurnState.ENDED: 1,
+    contributions.TurnState.COMPLETED: 2,
 }
 
 
 @dataclasses.dataclass(slots=True)
 class Turn:
-    """One turn."""
+    """One turn of a program."""
 
-    state: shares.TurnState
+    state: contributions.TurnState
     parent: records.TurnRef | None = None
     input: bytes = b""
     output: bytes = b""
     upstream: str = ""
 
     @classmethod
-    def of(cls, record: records.WholeTurn) -> "Turn":
-        """Return the turn that a record of a whole turn tells of."""
+    def from_record(cls, record: records.CompletedTurn) -> "Turn":
+        """Return the turn that a record of a completed turn describes."""
         return cls(
-            shares.TurnState.WHOLE,
+            contributions.TurnState.COMPLETED,
             record.parent,
             record.input,
             record.output,
@@ -45,9 +46,9 @@
 
     @property
     def rank(self) -> tuple:
-        """Which one of two stands: whole before ended before open.
+        """Precedence among two versions: completed, then ended, then open.
 
-        The rest only has to be the same on all VMs.
+        The other fields only make the choice the same on all VMs.
         """
         return (
             _RANK_BY_STATE[self.state],
@@ -59,24 +60,27 @@
 
 
 class Program:
-    """A program's turns and account: what a set of records adds up to.
+    """A program's turns and account, as a set of records defines them.
 
     Explanation
     ===========
 
-    An append may take effect twice, or long after its sender gave up, and a
-    VM that comes late reads only what a compaction has left.  So turns,
-    charge and reserves depend on which records there are, and not on their
-    order: all VMs that have read the log agree on them.
+    An append may take effect twice, or long after its sender gave up, and a VM
+    that starts late reads only the records that a compaction has left. Turns,
+    charge and reserves therefore depend on which records there are, and not on
+    their order: all VMs that have read the log agree on them.
 
-    Whether a turn may run is judged by the VM that opened it, from all that
-    stands before its record.  The others charge its ceiling until its author
-    has settled it, also if it seems not to fit: they may have read less.
+    The VM that opened a turn decides whether it may run, from all records
+    before its own. Other VMs charge the turn's ceiling until its author has
+    settled it, even if it seems not to fit: they may have read fewer records.
 
-    A VM may reserve tokens ahead, so that its next turn needs no record
-    before it starts.  A reserve is charged until its VM's records settle
-    it; so what a VM spends from it while it can't reach the log is
-    charged already, also if the VM dies.
+    A VM may reserve tokens ahead, so that its next turn can start without a
+    record. A reserve is charged until its VM's records settle it; so tokens
+    that a VM spends from it while it can't reach the log are charged already,
+    even if the VM dies.
+
+    The upstream where a conversation ran last is a hint, and may differ
+    between VMs.
 
     Parameters
     ==========
@@ -86,12 +90,7 @@
     charged : int
         Tokens of settled turns and ceilings of the others.
     settled : int
-        Tokens of settled turns: never becomes less.
-
-    Explanation
-    ===========
-
-    Where its lines ran last is a hint, and may differ between VMs.
+        Tokens of settled turns; never decreases.
 
     Examples
     ========
@@ -115,8 +114,10 @@
         self.turn_by_id: dict[records.TurnId, Turn] = {}
         self.charged = 0
         self.settled = 0
-        self._shares_by_turn: dict[records.TurnId, list[shares.Share]] = {}
-        self._net_by_author: dict[str, int] = {}
+        self._contributions_by_turn: dict[
+            records.TurnId, list[contributions.Contribution]
+        ] = {}
+        self._net_reserve_by_author: dict[str, int] = {}
         self._upstream_by_line: dict[str, str] = {}
 
     @property
@@ -124,61 +125,66 @@
         """Tokens that each VM has reserved ahead."""
         return {
             author: net
-            for author, net in self._net_by_author.items()
+            for author, net in self._net_reserve_by_author.items()
             if net > 0
         }
 
     @property
     def reserved(self) -> int:
         """Tokens that all VMs have reserved ahead."""
-        return sum(net for net in self._net_by_author.values() if net > 0)
+        return sum(
+            net for net in self._net_reserve_by_author.values() if net > 0
+        )
 
     def open(
         self, record: records.OpenedTurn, is_ordered: bool = True
-    ) -> shares.TurnState | None:
-        """Fold a record that opens a turn; return if it may run.
+    ) -> contributions.TurnState | None:
+        """Fold a record that opens a turn; return whether the turn may run.
 
         Parameters
         ----------
         is_ordered : bool
-            All that stands before the record in the log was folded before
-            it.  Otherwise it is judged when its author asks.
+            Whether all records before this one were folded before it.
+            Otherwise nothing is decided until its author calls ``decide``.
         """
-        self._join(record.turn, Turn(shares.TurnState.OPEN))
-        self._add(record, is_ordered)
-        return self.judge(record).state if is_ordered else None
+        self._merge_turn(record.turn, Turn(contributions.TurnState.OPEN))
+        self._add_record(record, is_ordered)
+        return self.decide(record).state if is_ordered else None
 
     def complete(
-        self, record: records.WholeTurn, is_ordered: bool = True
+        self, record: records.CompletedTurn, is_ordered: bool = True
     ) -> None:
-        """Fold the record of a turn that ran to its end."""
-        self._join(record.turn, Turn.of(record))
-        self._add(record, is_ordered)
+        """Fold the record of a completed turn."""
+        self._merge_turn(record.turn, Turn.from_record(record))
+        self._add_record(record, is_ordered)
 
     def end(self, record: records.EndedTurn, is_ordered: bool = True) -> None:
-        """Fold the record of a turn that ended without an answer."""
-        self._join(record.turn, Turn(shares.TurnState.ENDED))
-        self._add(record, is_ordered)
+        """Fold the record of a turn that ended without a history."""
+        self._merge_turn(record.turn, Turn(contributions.TurnState.ENDED))
+        self._add_record(record, is_ordered)
         if is_ordered:
-            self.note_place(record.line, record.upstream)
+            self.note_upstream(record.line, record.upstream)
 
-    def note_place(self, line: str, upstream: str) -> None:
-        """Take note that an upstream has a line's prompt in memory."""
+    def note_upstream(self, line: str, upstream: str) -> None:
+        """Note that an upstream has a conversation's prompt in memory."""
         if upstream:
             self._upstream_by_line.pop(line, None)
             self._upstream_by_line[line] = upstream
 
-    def place_of(self, line: str) -> str:
-        """Return the id of the upstream where a line ran last, or empty.
+    def last_upstream_of(self, line: str) -> str:
+        """Return the upstream where a conversation ran last, or empty.
 
-        A new line begins with what its program has said: it is in memory
-        where the program ran last.
+        A new conversation starts with what its program has generated, which is
+        in memory where the program ran last.
 
         Examples
         --------
         >>> program = Program("p")
-        >>> program.note_place("main", "u1")
-        >>> program.place_of("main"), program.place_of("sub-agent")
+        >>> program.note_upstream("main", "u1")
+        >>> (
+        ...     program.last_upstream_of("main"),
+        ...     program.last_upstream_of("sub-agent"),
+        ... )
         ('u1', 'u1')
         """
         found = self._upstream_by_line.get(line)
@@ -186,54 +192,64 @@
             found = next(reversed(self._upstream_by_line.values()))
         return found or ""
 
-    def whole_turn(self, turn: records.TurnId) -> Turn | None:
-        """Return a turn of the history, or None if it is not one."""
+    def completed_turn(self, turn: records.TurnId) -> Turn | None:
+        """Return a turn of the history, or None if it is not completed."""
         found = self.turn_by_id.get(turn)
-        if found is not None and found.state is shares.TurnState.WHOLE:
+        if (
+            found is not None
+            and found.state is contributions.TurnState.COMPLETED
+        ):
             return found
         return None
 
-    def judge(self, record) -> shares.Judgement:
-        """Return what a folded record comes to; its first place counts.
+    def decide(self, record) -> contributions.Decision:
+        """Return the decision on a folded record, which is taken once.
 
-        One that was read out of order is judged against all that is known:
-        more than stood before it.
+        A record that was read out of order is decided by all known records,
+        which may be more than those before it.
         """
-        share = self._share(record)
-        entry = share.find(_entry(record))
+        contribution = self._contribution_of(record)
+        entry = contribution.find(_entry(record))
         if entry is None:
-            return shares.Judgement(shares.TurnState.DEFERRED, False)
-        if entry.judgement is None:
-            entry.judgement = self._judge(record, share, entry)
-        return entry.judgement
-
-    def has_end(self, record: records.EndedTurn) -> bool:
+            return contributions.Decision(
+                contributions.TurnState.DEFERRED, False
+            )
+        if entry.decision is None:
+            entry.decision = self._decide(record, contribution, entry)
+        return entry.decision
+
+    def has_settlement(self, record: records.EndedTurn) -> bool:
         """Return whether the record of a turn's end was folded."""
         entry = _entry(record)
         return any(
-            share.author == record.claim.author
-            and share.find(entry) is not None
-            for share in self._shares_by_turn.get(record.turn, ())
+            contribution.author == record.claim.author
+            and contribution.find(entry) is not None
+            for contribution in self._contributions_by_turn.get(
+                record.turn, ()
+            )
         )
 
-    def state_after_run(self, turn: records.TurnId) -> shares.TurnState | None:
+    def state_after_run(
+        self, turn: records.TurnId
+    ) -> contributions.TurnState | None:
         """Return the state of a turn that has ended and may have run."""
-        found = self._shares_by_turn.get(turn, ())
-        if any(share.has_run for share in found):
+        found = self._contributions_by_turn.get(turn, ())
+        if any(contribution.has_run for contribution in found):
             return self.turn_by_id[turn].state
         return None
 
-    def is_spent(self, ceiling: int, budget: int | None) -> bool:
-        """Return whether no turn of this size can ever fit again."""
+    def is_budget_exhausted(self, ceiling: int, budget: int | None) -> bool:
+        """Return whether no turn of this size can ever fit the budget."""
         return budget is not None and self.settled + ceiling > budget
 
-    def room_ahead(
+    def reservable_tokens(
         self, ceiling: int, budget: int | None, own: int, used: int
     ) -> int:
-        """Return what a VM may reserve for its next turns.
+        """Return the tokens that a VM may reserve for its next turns.
 
-        At most an eighth of the rest, and two turns of this size stay free;
-        a reserve that no turn fits in is of no use.
+        They are at most an eighth of the remaining budget, and leave the
+        tokens of two turns of this size free; a reserve that is too small for
+        a turn is of no use.
 
         Parameters
         ----------
@@ -245,97 +261,106 @@
         if budget is None:
             return 0
         rest = budget - self.charged - self.reserved - used
-        spare = min(rest // RESERVED_PART, rest - KEPT_FREE_TURNS * ceiling)
-        added = min(AHEAD_TURNS * ceiling - own, spare)
+        spare = min(rest // RESERVE_DIVISOR, rest - KEPT_FREE_TURNS * ceiling)
+        added = min(RESERVE_TURNS * ceiling - own, spare)
         return added if added > 0 and own + added >= ceiling else 0
 
     # -- own ------------------------------------------------------------------
 
-    def _join(self, turn_id: records.TurnId, turn: Turn) -> None:
+    def _merge_turn(self, turn_id: records.TurnId, turn: Turn) -> None:
         known = self.turn_by_id.get(turn_id)
         if known is None or known.rank < turn.rank:
             self.turn_by_id[turn_id] = turn
 
-    def _share(self, record) -> shares.Share:
-        found = self._shares_by_turn.setdefault(record.turn, [])
-        for share in found:
-            if share.author == record.claim.author:
-                return share
-        found.append(shares.Share(record.claim.author))
+    def _contribution_of(self, record) -> contributions.Contribution:
+        found = self._contributions_by_turn.setdefault(record.turn, [])
+        for contribution in found:
+            if contribution.author == record.claim.author:
+                return contribution
+        found.append(contributions.Contribution(record.claim.author))
         return found[-1]
 
-    def _add(self, record, is_ordered: bool) -> None:
-        share = self._share(record)
+    def _add_record(self, record, is_ordered: bool) -> None:
+        contribution = self._contribution_of(record)
         entry = _entry(record)
-        if share.find(entry) is not None:
+        if contribution.find(entry) is not None:
             return
-        self.charged -= self._charge(record.turn)
-        self.settled -= share.settled
-        before = share.reserve
-        share.entries.append(entry)
-        self.charged += self._charge(record.turn)
-        self.settled += share.settled
-        net = self._net_by_author.get(share.author, 0)
-        self._net_by_author[share.author] = net + share.reserve - before
+        self.charged -= self._charged_tokens(record.turn)
+        self.settled -= contribution.settled
+        before = contribution.reserve
+        contribution.entries.append(entry)
+        self.charged += self._charged_tokens(record.turn)
+        self.settled += contribution.settled
+        net = self._net_reserve_by_author.get(contribution.author, 0)
+        self._net_reserve_by_author[contribution.author] = (
+            net + contribution.reserve - before
+        )
         if is_ordered:
-            entry.judgement = self._judge(record, share, entry)
+            entry.decision = self._decide(record, contribution, entry)
 
-    def _charge(self, turn: records.TurnId) -> int:
-        """Return what a turn is charged with.
+    def _charged_tokens(self, turn: records.TurnId) -> int:
+        """Return the tokens that a turn is charged with.
 
-        Once it has run its openings count no more, whoever wrote them.
+        Once a turn has run, its openings no longer count, whoever wrote them.
         """
-        found = self._shares_by_turn[turn]
-        if any(share.has_run for share in found):
-            return sum(share.settled for share in found)
-        return sum(share.charged for share in found)
+        found = self._contributions_by_turn[turn]
+        if any(contribution.has_run for contribution in found):
+            return sum(contribution.settled for contribution in found)
+        return sum(contribution.charged for contribution in found)
 
-    def _judge(self, record, share, entry) -> shares.Judgement:
-        """Judge a record by all that is folded, itself among it."""
+    def _decide(self, record, contribution, entry) -> contributions.Decision:
+        """Decide on a record by all folded records, itself included."""
         claim = record.claim
         total = self.charged + self.reserved
-        holds = claim.budget is None or total <= claim.budget
+        reserve_fits = claim.budget is None or total <= claim.budget
         if entry.tokens is not None:
-            return shares.Judgement(None, holds)
-        state = self._use_of_id(record.turn, share)
+            return contributions.Decision(None, reserve_fits)
+        state = self._conflicting_state(record.turn, contribution)
         if state is not None:
-            return shares.Judgement(state, False)
-        if holds:
-            return shares.Judgement(shares.TurnState.OPEN, True)
-        net = max(0, self._net_by_author[share.author])
+            return contributions.Decision(state, False)
+        if reserve_fits:
+            return contributions.Decision(contributions.TurnState.OPEN, True)
+        net = max(0, self._net_reserve_by_author[contribution.author])
         if total - min(claim.granted, net) <= claim.budget:
-            return shares.Judgement(shares.TurnState.OPEN, False)
-        if self._certain_beside(share) + claim.ceiling > claim.budget:
-            return shares.Judgement(shares.TurnState.REFUSED, False)
-        return shares.Judgement(shares.TurnState.DEFERRED, False)
-
-    def _use_of_id(
-        self, turn: records.TurnId, own: shares.Share
-    ) -> shares.TurnState | None:
-        """Return what keeps a turn's id from being used, if anything does."""
+            return contributions.Decision(contributions.TurnState.OPEN, False)
+        if (
+            self._certain_charge_of_others(contribution) + claim.ceiling
+            > claim.budget
+        ):
+            return contributions.Decision(
+                contributions.TurnState.REFUSED, False
+            )
+        return contributions.Decision(contributions.TurnState.DEFERRED, False)
+
+    def _conflicting_state(
+        self, turn: records.TurnId, own: contributions.Contribution
+    ) -> contributions.TurnState | None:
+        """Return the state that keeps a turn's id from being used, if any."""
         ended = self.state_after_run(turn)
         if ended is not None:
             return ended
         if own.is_settled:
-            return shares.TurnState.DEFERRED
-        for share in self._shares_by_turn[turn]:
-            if share is not own and not share.is_settled:
-                return shares.TurnState.TAKEN
+            return contributions.TurnState.DEFERRED
+        for contribution in self._contributions_by_turn[turn]:
+            if contribution is not own and not contribution.is_settled:
+                return contributions.TurnState.ID_IN_USE
         return None
 
-    def _certain_beside(self, own: shares.Share) -> int:
-        """Return what turns are charged with that ran, or surely may."""
+    def _certain_charge_of_others(
+        self, own: contributions.Contribution
+    ) -> int:
+        """Return the charge of turns that have run, or surely may run."""
         return self.settled + sum(
-            share.charged
-            for turn, found in self._shares_by_turn.items()
+            contribution.charged
+            for turn, found in self._contributions_by_turn.items()
             if self.state_after_run(turn) is None
-            for share in found
-            if share is not own and share.may_run
+            for contribution in found
+            if contribution is not own and contribution.may_run
         )
 
 
-def _entry(record) -> shares.Entry:
+def _entry(record) -> contributions.LedgerEntry:
     if isinstance(record, records.OpenedTurn):
-        return shares.Entry(record.claim)
-    is_whole = isinstance(record, records.WholeTurn)
-    return shares.Entry(record.claim, record.tokens, is_whole)
+        return contributions.LedgerEntry(record.claim)
+    is_completed = isinstance(record, records.CompletedTurn)
+    return contributions.LedgerEntry(record.claim, record.tokens, is_completed)
--- a/postspring/histories/reading.py
+++ b/postspring/histories/reading.py
@@ -1,72 +1,74 @@
-"""Reading histories: what of them is known here, and what the log has."""
+"""Read access to histories: what this VM knows, and what the log has."""
 
 from collections.abc import Callable
 
 from postspring.histories import accounts
 from postspring.histories import chains
-from postspring.histories import copies
-from postspring.histories import openings
 from postspring.histories import partitions
 from postspring.histories import program as program_module
 from postspring.histories import records
+from postspring.histories import replicas
+from postspring.histories import turn_opener
 
 __all__ = ["JournalReader"]
 
-# For how long a partition that failed just now is tried, in seconds; above the
-# store's usual 4 ms.
+# Timeout for a partition that has just failed, in seconds; above the store's
+# usual 4 ms.
 FAILING_TIMEOUT_SECONDS = 0.05
 
 
 class JournalReader:
-    """The questions that a journal answers; it has what they are about."""
+    """The queries of a journal, which sets the attributes that they use."""
 
     accounts: accounts.LocalAccounts
     _partitions: partitions.Partitions
-    _held_by_ref: dict[records.TurnRef, records.WholeTurn]
-    _end_copies: copies.EndCopies
+    _held_by_ref: dict[records.TurnRef, records.CompletedTurn]
+    _ended_replicas: replicas.EndedTurnReplicas
 
     def charged(self, program: records.ProgramId) -> int:
-        """Return what the records here charge a program with."""
+        """Return the tokens that the folded records charge a program with."""
         known = self._partitions.program(program)
         return known.charged + known.reserved
 
     def unsettled(
         self, program: records.ProgramId
     ) -> dict[records.TurnId, int]:
-        """Return tokens of turns that ran at a home, and are not charged."""
+        """Return the tokens of offline turns that the log may not charge."""
         return {
-            **self._end_copies.tokens_by_turn(program),
-            **self.accounts.unsettled_at_home(program),
+            **self._ended_replicas.tokens_by_turn(program),
+            **self.accounts.unsettled_offline(program),
         }
 
     @property
-    def knows_homes(self) -> bool:
-        """Whether any turn that ran at a home may not be charged yet."""
-        return self.accounts.has_homes or len(self._end_copies) > 0
+    def may_have_offline_charges(self) -> bool:
+        """Whether any offline turn may not be charged yet."""
+        return (
+            self.accounts.has_offline_accounts or len(self._ended_replicas) > 0
+        )
 
-    def home_left(self, program: records.ProgramId) -> int:
-        """Return what a program may still spend here without the log."""
+    def offline_tokens_left(self, program: records.ProgramId) -> int:
+        """Return the tokens that a program may still spend here offline."""
         place = partitions.place_of_program(program)
-        if not self._partitions.is_failing(place):
+        if not self._partitions.is_unresponsive(place):
             return 0
-        spent = self.accounts.unsettled_at_home(program).values()
-        return max(0, self.accounts.home_tokens(program) - sum(spent))
+        spent = self.accounts.unsettled_offline(program).values()
+        return max(0, self.accounts.offline_tokens(program) - sum(spent))
 
-    def fits_beside(
+    def fits_with_offline_use(
         self,
         program: records.ProgramId,
         budget: int | None,
         unsettled: dict[records.TurnId, int],
-        home_left: int,
+        offline_tokens_left: int,
     ) -> bool:
-        """Return whether a program's turns fit beside what homes used.
+        """Return whether a program's charge and offline use fit its budget.
 
         Parameters
         ----------
         unsettled : dict
             Tokens of turns that the log may lack.
-        home_left : int
-            Tokens that homes may still spend.
+        offline_tokens_left : int
+            Tokens that offline accounts may still spend.
         """
         if budget is None:
             return True
@@ -76,7 +78,7 @@
             for turn, tokens in unsettled.items()
             if known.state_after_run(turn) is None
         )
-        return self.charged(program) + lacking + home_left <= budget
+        return self.charged(program) + lacking + offline_tokens_left <= budget
 
     def find_chain(
         self,
@@ -84,26 +86,26 @@
         turn: records.TurnId,
         timeout: float,
         on_done: Callable[[chains.Chain | None], None],
-        on_error: openings.OnError,
+        on_error: turn_opener.OnError,
     ) -> None:
-        """Collect the chain that ends with a turn; None if there is none.
+        """Find the chain that ends with a turn; None if there is none.
 
-        ``program`` is where it is looked for first.
+        The records of ``program`` are searched first.
         """
         search = chains.ChainSearch(self, timeout, on_done, on_error)
-        search.start(self.ref_of(program, turn))
+        search.start(self.resolve_ref(program, turn))
 
     def known_chain(self, ref: records.TurnRef) -> chains.Chain | None:
         """Return a chain if this VM has all of it in memory."""
-        return chains.collect(self.known_turn, ref)[0]
+        return chains.collect_chain(self.known_turn, ref)[0]
 
-    def ref_of(
+    def resolve_ref(
         self, program: records.ProgramId, turn: records.TurnId
     ) -> records.TurnRef:
-        """Return where a turn is looked for; ``program`` may continue it.
+        """Return where to look for a turn that ``program`` may continue.
 
-        Where a turn of another program stands is told by the log, unless
-        the turn is not in the log yet.
+        If the turn belongs to another program, its location in the log tells
+        which one, unless this VM holds the turn.
         """
         ref = records.TurnRef(program, turn)
         if self.known_turn(ref) is None:
@@ -113,39 +115,39 @@
         return ref
 
     def known_turn(self, ref: records.TurnRef) -> program_module.Turn | None:
-        """Return a whole turn if this VM has it in memory."""
-        whole = self._partitions.whole_turn(ref)
+        """Return a completed turn if this VM has it in memory."""
+        turn = self._partitions.completed_turn(ref)
         held = self._held_by_ref.get(ref)
-        if whole is None and held is not None:
-            whole = program_module.Turn.of(held)
-        return whole
+        if turn is None and held is not None:
+            turn = program_module.Turn.from_record(held)
+        return turn
 
     def is_logged(self, ref: records.TurnRef) -> bool:
-        """Return whether a whole turn is known to stand in the log."""
-        return self._partitions.whole_turn(ref) is not None
+        """Return whether a completed turn is known to be in the log."""
+        return self._partitions.completed_turn(ref) is not None
 
     def knows(self, program: records.ProgramId) -> bool:
-        """Return whether this VM has any turn of a program in memory."""
+        """Return whether this VM has any turn or account of a program."""
         return (
             bool(self._partitions.program(program).turn_by_id)
-            or self.accounts.is_home(program)
+            or self.accounts.has_offline_account(program)
             or self._holds(program)
         )
 
     def is_recorded(
         self, program: records.ProgramId, previous: records.TurnId | None
     ) -> bool:
-        """Return whether all that is known here of a program is in the log.
+        """Return whether all that this VM knows of a program is in the log.
 
-        Not so if this VM does not know the turn that is to be continued.
+        False as well if this VM does not know the turn to be continued.
         """
-        if self.accounts.is_home(program) or self._holds(program):
+        if self.accounts.has_offline_account(program) or self._holds(program):
             return False
         if previous is None:
             return True
         return self.known_turn(records.TurnRef(program, previous)) is not None
 
-    def can_take(
+    def can_run(
         self,
         program: records.ProgramId,
         previous: records.TurnId | None,
@@ -153,31 +155,32 @@
     ) -> bool:
         """Return whether this VM could run a turn without the log."""
         if previous is not None:
-            if self.known_chain(self.ref_of(program, previous)) is None:
+            if self.known_chain(self.resolve_ref(program, previous)) is None:
                 return False
-        is_away = self._partitions.is_failing(
+        is_unresponsive = self._partitions.is_unresponsive(
             partitions.place_of_program(program)
         )
         known = self._partitions.program(program)
-        return self.accounts.can_take(known, ceiling, is_away)
+        return self.accounts.can_admit(known, ceiling, is_unresponsive)
 
     def refresh_program(
         self,
         program: records.ProgramId,
         timeout: float,
         on_done: Callable[[], None],
-        on_error: openings.OnError,
-        waits_long: bool = False,
+        on_error: turn_opener.OnError,
+        keeps_timeout: bool = False,
     ) -> None:
         """Fold all records of a program's partition.
 
         Parameters
         ----------
-        waits_long : bool
-            Nobody waits: keep the whole timeout while the log is away, too.
+        keeps_timeout : bool
+            Keep the timeout as it is even while the log is unavailable, since
+            no caller waits.
         """
         place = partitions.place_of_program(program)
-        if self._partitions.is_failing(place) and not waits_long:
+        if self._partitions.is_unresponsive(place) and not keeps_timeout:
             timeout = min(timeout, FAILING_TIMEOUT_SECONDS)
         self._partitions.get(place).refresh(
             timeout, lambda fold: on_done(), on_error
@@ -188,9 +191,9 @@
         turn: records.TurnId,
         timeout: float,
         on_done: Callable[[records.ProgramId | None], None],
-        on_error: openings.OnError,
+        on_error: turn_opener.OnError,
     ) -> None:
-        """Tell among which program's records a turn stands."""
+        """Find the program among whose records a turn is stored."""
         partition = self._partitions.get(partitions.place_of_location(turn))
         known = partition.fold.program_by_turn.get(turn)
         if known is not None:
@@ -202,14 +205,14 @@
             on_error,
         )
 
-    def place_of(self, program: records.ProgramId, line: str) -> str:
-        """Return the upstream that has a line's prompt in memory, or empty."""
-        return self._partitions.program(program).place_of(line)
+    def last_upstream_of(self, program: records.ProgramId, line: str) -> str:
+        """Return the upstream with a conversation's prompt, or empty."""
+        return self._partitions.program(program).last_upstream_of(line)
 
     # -- own ------------------------------------------------------------------
 
     def _holds(self, program: records.ProgramId) -> bool:
-        """Return whether a turn of a program is not in the log yet."""
-        if self._end_copies.knows(program):
+        """Return whether this VM holds a turn of a program."""
+        if self._ended_replicas.has_program(program):
             return True
         return any(ref.program == program for ref in self._held_by_ref)
--- a/postspring/histories/recording.py
+++ b/postspring/histories/recording.py
@@ -1,8 +1,8 @@
-"""Appending the records of turns to their programs' partitions."""
+"""Appends the records of turns to their programs' partitions."""
 
 from collections.abc import Callable
 
-from postspring.histories import completion
+from postspring.histories import durability
 from postspring.histories import errors
 from postspring.histories import fold as fold_module
 from postspring.histories import partitions as partitions_module
@@ -13,106 +13,112 @@
     "KEEP_SECONDS",
     "append_location",
     "append_record",
-    "append_whole",
-    "hurry",
-    "is_away",
+    "append_completed",
+    "expedite_retry",
     "is_late",
+    "is_unavailable",
 ]
 
-# How long records that have to get into the log are offered to it; seconds,
+# How long the append of a record that must not be lost is retried, in seconds;
 # above the retention of the users' routes.
 KEEP_SECONDS = 120.0
 # How long a caller waits for its turn's record, in seconds: until other VMs
-# keep copies (0.35 s), with room.  In the queue of retries the record of a
-# turn that had ended came after what was left of an outage.
-AWAITED_SECONDS = 1.0
+# hold replicas (0.35 s), with a margin. Without a waiting caller, the record
+# would be retried behind all that is left of an outage.
+CALLER_WAIT_SECONDS = 1.0
 
 
 def append_record(
     partitions: partitions_module.Partitions,
-    record: records.OpenedTurn | records.WholeTurn | records.EndedTurn,
+    record: records.OpenedTurn | records.CompletedTurn | records.EndedTurn,
     timeout: float,
     on_done: Callable[[fold_module.ProgramFold], None],
     on_error: Callable[[errors.HistoryError], None],
-    awaited: float = 0.0,
+    caller_wait: float = 0.0,
 ) -> None:
     """Append a record to its program's partition."""
     place = partitions_module.place_of_program(record.program)
     data = records.encode_record(record)
     entry = keyedlog.LogEntry(records.record_key(record, data), data)
     partition = partitions.get(place)
-    partition.commit(entry, timeout, on_done, on_error, awaited)
+    partition.commit(entry, timeout, on_done, on_error, caller_wait)
 
 
 def append_location(
     partitions: partitions_module.Partitions,
-    record: records.WholeTurn,
+    record: records.CompletedTurn,
     on_done: Callable[[], None],
     on_error: Callable[[errors.HistoryError], None],
-    awaited: float = 0.0,
+    caller_wait: float = 0.0,
 ) -> None:
-    """Append where a whole turn stands."""
+    """Append the location of a completed turn."""
     place = partitions_module.place_of_location(record.turn)
     location = records.TurnLocation(record.turn, record.program)
     entry = keyedlog.LogEntry(record.turn, records.encode_record(location))
     partitions.get(place).commit(
-        entry, KEEP_SECONDS, lambda fold: on_done(), on_error, awaited
+        entry, KEEP_SECONDS, lambda fold: on_done(), on_error, caller_wait
     )
 
 
-def append_whole(
+def append_completed(
     partitions: partitions_module.Partitions,
-    record: records.WholeTurn,
+    record: records.CompletedTurn,
     on_folded: Callable[[fold_module.ProgramFold], None],
     on_done: Callable[[], None],
     on_error: Callable[[errors.HistoryError], None],
-    awaited: float,
+    caller_wait: float,
 ) -> None:
-    """Append a whole turn and where it stands.
+    """Append a completed turn and its location.
 
     Parameters
     ----------
     on_folded : callable
-        Told when the turn stands among its program's records.
+        Called with the fold when the turn's record is in it.
     on_done : callable
-        Told when both stand in the log.
-    awaited : float
+        Called when both records are in the log.
+    caller_wait : float
         Seconds for which a caller waits for that.
     """
-    both = completion.Both(on_done)
+    both = durability.PairLatch(on_done)
 
     def folded(fold: fold_module.ProgramFold) -> None:
         on_folded(fold)
-        both.one_done()
+        both.count_down()
 
-    append_record(partitions, record, KEEP_SECONDS, folded, on_error, awaited)
-    append_location(partitions, record, both.one_done, on_error, awaited)
+    append_record(
+        partitions, record, KEEP_SECONDS, folded, on_error, caller_wait
+    )
+    append_location(partitions, record, both.count_down, on_error, caller_wait)
 
 
-def hurry(
-    partitions: partitions_module.Partitions, record: records.WholeTurn
+def expedite_retry(
+    partitions: partitions_module.Partitions, record: records.CompletedTurn
 ) -> None:
-    """Have what waits to record a whole turn tried now, if the log is back."""
+    """Retry a turn's pending appends now, if the log answers again."""
     for place in _places_of(record):
-        partitions.get(place).hurry()
+        partitions.get(place).expedite_retry()
 
 
-def is_away(
-    partitions: partitions_module.Partitions, record: records.WholeTurn
+def is_unavailable(
+    partitions: partitions_module.Partitions, record: records.CompletedTurn
 ) -> bool:
-    """Return whether a whole turn can't be recorded now, as far as known."""
-    return any(partitions.is_away(place) for place in _places_of(record))
+    """Return whether a turn can't be recorded now, as far as known."""
+    return any(
+        partitions.is_unavailable(place) for place in _places_of(record)
+    )
 
 
 def is_late(
-    partitions: partitions_module.Partitions, record: records.WholeTurn
+    partitions: partitions_module.Partitions, record: records.CompletedTurn
 ) -> bool:
-    """Return whether recording a whole turn fails, or takes unusually long."""
-    return any(partitions.is_failing(place) for place in _places_of(record))
+    """Return whether recording a turn fails, or takes unusually long."""
+    return any(
+        partitions.is_unresponsive(place) for place in _places_of(record)
+    )
 
 
-def _places_of(record: records.WholeTurn) -> tuple[keyedlog.LogPlace, ...]:
-    """Return the partitions that a whole turn and its place stand in."""
+def _places_of(record: records.CompletedTurn) -> tuple[keyedlog.LogPlace, ...]:
+    """Return the partitions of a completed turn and of its location."""
     return (
         partitions_module.place_of_program(record.program),
         partitions_module.place_of_location(record.turn),
--- a/postspring/peering/__init__.py
+++ b/postspring/peering/__init__.py
@@ -1,9 +1,15 @@
-"""Peering: how entry VMs help each other while the log is away.
+"""Peering: the messages that entry VMs exchange, and what they serve.
 
-VMs speak HTTP with CBOR bodies, on connections that are opened when they
-are needed: no heartbeats, and no links to keep at any size.  The client
-and the server are those that callers and upstreams need anyway; websockets
-with their message types would cost each VM 12 MB more.
+VMs send each other CBOR over HTTP, on connections that are opened on demand: a
+VM sends no heartbeats to other VMs and has no permanent links to them, however
+many there are.  The HTTP client and server exist anyway for callers and
+upstreams; websockets with their own message types would cost each VM another
+12 MB of memory.
+
+While a VM can't reach the log, it calls the log through another VM
+(:class:`FailoverLog`), stores replicas of its records at other VMs, or runs a
+program *offline*: it charges the program's turns to an account of its own and
+records them when the log is back.
 """
 
 from postspring.peering.failover import FailoverLog
@@ -15,7 +21,7 @@
 from postspring.peering.messages import STORE_PREFIX
 from postspring.peering.peer_client import PeerClient
 from postspring.peering.permits import Permits
-from postspring.peering.promises import Promises
+from postspring.peering.program_leases import ProgramLeases
 from postspring.peering.service import PeerService
 
 __all__ = [
@@ -27,7 +33,7 @@
     "PeerClient",
     "PeerService",
     "Permits",
-    "Promises",
+    "ProgramLeases",
     "STORE_PREFIX",
     "collector_of",
 ]
--- a/postspring/peering/messages.py
+++ b/postspring/peering/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entry VMs, in CBOR."""
+"""Messages between entry VMs, encoded as CBOR arrays."""
 
 from typing import Any
 
@@ -11,16 +11,16 @@
 
 __all__ = [
     "FindRequest",
-    "Found",
-    "KeepRequest",
-    "Kept",
-    "Loads",
-    "Permit",
-    "PermitRequest",
+    "FindResponse",
     "LoadsReport",
+    "LoadsResponse",
+    "PermitRequest",
+    "PermitResponse",
     "RecordRequest",
-    "View",
+    "StoreReplicasRequest",
+    "StoreReplicasResponse",
     "ViewRequest",
+    "ViewResponse",
     "decode",
     "encode",
     "request_to",
@@ -33,72 +33,77 @@
 LOADS_PATH = "/peer/loads"
 PERMIT_PATH = "/peer/permit"
 RECORD_PATH = "/peer/record"
-# Answer of a VM that stops to what it is asked to keep.
+# Response of a VM that is shutting down to a request to store replicas.
 STOPPING_STATUS = 503
-# Answer of a VM that does not reach the log to what it is asked to record.
-WITHOUT_LOG_STATUS = 503
-# Calls to the platform's store that are to be passed on stand behind this.
+# Response of a VM that is shutting down, or can't reach the log, to a request
+# to record turns.
+LOG_UNREACHABLE_STATUS = 503
+# Path prefix of calls to the platform's store that a VM relays.
 STORE_PREFIX = "/peer/store"
 
 
-class KeepRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Keep these records until they are in the log.
+class StoreReplicasRequest(msgspec.Struct, frozen=True, array_like=True):
+    """Request to store replicas of records until the log has them.
 
     Parameters
     ==========
 
-    is_log_away : bool
-        Who asks does not reach the log: record them at once if you do.
+    is_log_unavailable : bool
+        The sender can't reach the log: a receiver that can appends the records
+        at once.
     """
 
     records: list[bytes]
-    is_log_away: bool = False
+    is_log_unavailable: bool = False
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to :class:`KeepRequest`.
+class StoreReplicasResponse(msgspec.Struct, frozen=True, array_like=True):
+    """The response to :class:`StoreReplicasRequest`.
 
     Parameters
     ==========
 
     reaches_log : bool
-        The log takes calls of the VM that answers, as far as it knows.
+        The responding VM can reach the log, as far as it can tell.
     """
 
     reaches_log: bool = False
 
 
 class RecordRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Append these whole turns, and answer when all stand in the log.
+    """Request to append turns, answered once the log has all of them.
 
     Parameters
     ==========
 
     turns : list of bytes
-        A turn that goes on from others of them stands behind those.
+        Records of whole turns; a turn comes after those of the list that it
+        continues.
     """
 
     turns: list[bytes]
 
 
 class FindRequest(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a program, and could its next turn run there?
+    """Query for a program: does a VM have it, and can the turn run there?
 
     Parameters
     ==========
 
     vm : str
-        Who asks.
+        Name of the requesting VM.
     previous : str or None
-        The turn that is to be continued.
+        The turn that the next one continues.
     ceiling : int
-        Most tokens that the turn may generate.
+        Maximum number of tokens that the next turn may generate.
     incarnation : str
-        Which one of the VM's processes asks.
+        Incarnation of the requesting process.
     entry : bytes
-        Its entry in the list of VMs: the one that is asked may not have it.
-    for_home : bool
-        The program may be let go on there.
+        Entry of the requesting VM in the list of VMs, which the receiver may
+        not have read yet.
+    is_offline_request : bool
+        Requests a lease on the program: the VM may run it offline after the
+        responses.
     """
 
     vm: str
@@ -107,65 +112,70 @@
     ceiling: int
     incarnation: str = ""
     entry: bytes = b""
-    for_home: bool = False
+    is_offline_request: bool = False
 
 
-class Found(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to :class:`FindRequest`.
+class FindResponse(msgspec.Struct, frozen=True, array_like=True):
+    """The response to :class:`FindRequest`.
 
     Parameters
     ==========
 
-    can_take : bool
-        The turn could run there without the log.
-    knows : bool
-        Some turn of the program is known there.
-    knows_turn : bool
-        The turn that is to be continued is known there.
-    is_complete : bool
-        The VM has been up for long enough to know what began there.
+    can_run : bool
+        The responding VM could run the turn without the log.
+    has_program : bool
+        The VM has some turn of the program in memory, or runs it offline.
+    has_turn : bool
+        The VM has the turn that is to be continued in memory.
+    has_all_recent_turns : bool
+        The VM has been up for long enough to have every turn that ended there
+        recently.
     has_chain : bool
-        The turn and all that precede it are known there.
+        The VM has the turn and all its predecessors in memory, and accepts
+        calls.
     charged : int
-        Tokens that records charge the program with, as far as is known.
-    home_tokens : int
-        Tokens that the program may spend there while the log is away.
-    goes_first : bool
-        Another VM is about to let the program go on.
-    has_gone_on : bool
-        Another VM than the one that asks may have let it go on.
+        Tokens that the records read by the VM charge the program with.
+    offline_tokens : int
+        Tokens that the program may spend at the VM while it runs offline
+        there.
+    is_leased_elsewhere : bool
+        The lease is refused, as another VM is about to run the program
+        offline: the responding VM, or one to which it has granted a lease.
+    may_be_offline_elsewhere : bool
+        Another VM than the requesting one has requested a lease before.
     unsettled : list of (str, int)
-        Turns of the program that ran while the log was away, and the tokens
-        that it does not charge for them yet.
-    home_left : int
-        Tokens that the program may still spend there without the log.
-    knows_homes : bool
-        Any program may have gone on there without the log, or elsewhere as
-        far as the VM was told, whose records the log may lack.
+        Turns of the program that ran offline, and the tokens that the log may
+        not charge for them yet.
+    offline_tokens_left : int
+        Tokens that the program may still spend offline at the VM.
+    may_have_offline_charges : bool
+        The log may lack turns of some program that ran offline, at the
+        responding VM or at one that requested a lease from it.
     """
 
-    can_take: bool
-    knows: bool
-    knows_turn: bool
-    is_complete: bool
+    can_run: bool
+    has_program: bool
+    has_turn: bool
+    has_all_recent_turns: bool
     has_chain: bool = False
     charged: int = 0
-    home_tokens: int = 0
-    goes_first: bool = False
-    has_gone_on: bool = False
+    offline_tokens: int = 0
+    is_leased_elsewhere: bool = False
+    may_be_offline_elsewhere: bool = False
     unsettled: list[tuple[str, int]] = msgspec.field(default_factory=list)
-    home_left: int = 0
-    knows_homes: bool = True
+    offline_tokens_left: int = 0
+    may_have_offline_charges: bool = True
 
 
 class ViewRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Show what you know of a subject.
+    """Request for the records of a subject that a VM has read.
 
     Parameters
     ==========
 
     vm : str
-        Who asks; it has just started, and nobody may know it yet.
+        Name of the requesting VM, which may have just started and be on no
+        other VM's list yet.
     entry : bytes
         Its entry in the list of VMs.
     """
@@ -175,14 +185,14 @@
     entry: bytes
 
 
-class View(msgspec.Struct, frozen=True, array_like=True):
-    """The newest record of each key, as a VM knows them.
+class ViewResponse(msgspec.Struct, frozen=True, array_like=True):
+    """The newest record of each key that the responding VM has read.
 
     Parameters
     ==========
 
     next : int
-        Offset that the VM reads on from.
+        Offset at which the VM continues reading.
     """
 
     entries: list[tuple[str, bytes]]
@@ -190,46 +200,48 @@
 
 
 class LoadsReport(msgspec.Struct, frozen=True, array_like=True):
-    """What a VM, or a whole data centre, has in flight at upstreams.
+    """Calls that a VM, or a data centre, has in flight at upstreams.
 
     Parameters
     ==========
 
     source : str
-        The VM's name, or the data centre's.
+        Name of the VM or of the data centre.
     is_data_center : bool
-        The calls are those of all VMs of a data centre.
+        The calls are the sum over all VMs of a data centre.
     calls : list of (str, int)
-        Upstream's incarnation and calls there; others have none.
-    sightings : list of (str, float, int)
-        Of upstreams whose calls broke, or that are suspected: incarnation,
-        seconds since then, broken calls (0: something came from it).
+        Incarnations of upstreams and the calls in flight there; upstreams
+        without calls are left out.
+    observations : list of (str, float, int)
+        Observations of upstreams whose calls broke or that are suspected:
+        incarnation, age in seconds, number of broken calls (0: the upstream
+        sent something).
     """
 
     source: str
     is_data_center: bool
     calls: list[tuple[str, int]]
-    sightings: list[tuple[str, float, int]] = msgspec.field(
+    observations: list[tuple[str, float, int]] = msgspec.field(
         default_factory=list
     )
 
 
-class Loads(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to :class:`LoadsReport`.
+class LoadsResponse(msgspec.Struct, frozen=True, array_like=True):
+    """The response to :class:`LoadsReport`.
 
     Parameters
     ==========
 
     calls : list of (str, int)
-        What all others have in flight.
+        Calls that all other VMs have in flight.
     suspects : list of (str, float)
         Upstreams that are probably dead, and seconds since calls last broke
         there.
     configuration_end : int
         Offset at which the configuration's records ended when the log last
-        confirmed that to the VM that answers; -1 if it never has.
+        confirmed that to the responding VM; -1 if it never has.
     confirmed_age : float
-        Seconds since then, at least, when it answers.
+        Upper bound of the seconds between that confirmation and the response.
     """
 
     calls: list[tuple[str, int]]
@@ -239,49 +251,50 @@
 
 
 class PermitRequest(msgspec.Struct, frozen=True, array_like=True):
-    """May a request of a workspace run?
+    """Request to a quota allocator for a permit, or the return of one.
 
     Parameters
     ==========
 
     use : Use
-        What the request is for.
-    insists : bool
-        No VM that may tell is ready; this one is to tell all the same.
+        Purpose of the workspace's request.
+    ignore_readiness : bool
+        No allocator of the data centre is ready; the receiver is to decide
+        although it isn't ready either.
     ages : list of float
-        Seconds since other VMs of the data centre that is asked let requests
-        of the workspace run at the VM that asks.
+        Seconds since other allocators of the receiver's data centre granted
+        permits of the workspace to the requesting VM.
     is_return : bool
-        Nothing is asked: a permit comes back, by which nothing ran.
+        A permit is returned with which nothing ran.
     """
 
     workspace: str
-    use: quotas.Use
-    insists: bool = False
+    use: quotas.PermitUse
+    ignore_readiness: bool = False
     ages: list[float] = msgspec.field(default_factory=list)
     is_return: bool = False
 
 
-class Permit(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to :class:`PermitRequest`.
+class PermitResponse(msgspec.Struct, frozen=True, array_like=True):
+    """The response to :class:`PermitRequest`.
 
     Parameters
     ==========
 
-    state : DealState
-        Granted, refused, or that this VM can't tell.
+    state : PermitState
+        Granted, refused, or not ready to decide.
     wait : float
-        Seconds after which it may be granted.
+        Seconds after which a refused request may be granted.
     """
 
-    state: quotas.DealState
+    state: quotas.PermitState
     wait: float
 
 
 def request_to(
     address: tuple[str, int], path: str, body: bytes, seconds: float
 ) -> transport.HttpRequest:
-    """Return a request to the VM at an address, answered in ``seconds``."""
+    """Return a request to the VM at an address, with a timeout."""
     return transport.HttpRequest(
         address=address,
         method="POST",
@@ -293,25 +306,25 @@
 
 
 def encode(message: Any) -> bytes:
-    """Return a message as bytes: its fields in order."""
+    """Return a message as CBOR: an array of its fields in order."""
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
 def decode(cls: type, data: bytes) -> Any:
-    """Return the message of a type in ``data``.
+    """Return the message of a type that ``data`` encodes.
 
-    Fields that a VM of another version adds at the end are left out, and
-    those that it lacks have their defaults.
+    Additional fields at the end, from a newer version, are ignored; missing
+    ones take their defaults.
 
     Raises
     ------
     PeerError
-        If there is none.
+        If ``data`` isn't such a message.
 
     Examples
     --------
-    >>> found = Found(True, True, False, True)
-    >>> decode(Found, encode(found)) == found
+    >>> found = FindResponse(True, True, False, True)
+    >>> decode(FindResponse, encode(found)) == found
     True
     """
     try:
--- a/postspring/peering/tests/test_messages.py
+++ b/postspring/peering/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between VMs come from outside: any bytes are survived."""
+"""Messages between VMs come from outside: any bytes must be handled."""
 
 import unittest
 
@@ -12,15 +12,15 @@
 
 TYPES = (
     messages.FindRequest,
-    messages.Found,
-    messages.KeepRequest,
-    messages.View,
+    messages.FindResponse,
+    messages.StoreReplicasRequest,
+    messages.ViewResponse,
     messages.ViewRequest,
 )
 
 
 class DecodeTest(unittest.TestCase):
-    """Decoders raise their own error, or give a message."""
+    """Decoders return a message or raise their own error."""
 
     @hypothesis.given(strategies.binary(max_size=100))
     def test_any_bytes(self, data):
@@ -30,13 +30,13 @@
             except errors.PeerError:
                 pass
 
-    def test_a_field_of_another_type(self):
-        # Ended in a 500 and a traceback in the log.
+    def test_field_of_the_wrong_type(self):
+        # Such a message once led to status 500 and a traceback in the log.
         wrong = (
-            (messages.KeepRequest, [["text"]]),
+            (messages.StoreReplicasRequest, [["text"]]),
             (messages.FindRequest, ["vm", "p", None, "8"]),
-            (messages.Found, [1, True, False, True]),
-            (messages.View, [[["key"]], 3]),
+            (messages.FindResponse, [1, True, False, True]),
+            (messages.ViewResponse, [[["key"]], 3]),
             (messages.ViewRequest, ["members", "vm", "entry"]),
         )
         for cls, values in wrong:
--- /dev/null
+++ b/postspring/peering/tests/test_queries.py
@@ -0,0 +1,143 @@
+"""Cost of queries to other VMs while the log is unreachable.
+
+Guards against a flood of queries in a fleet of 60 VMs whose log refuses all
+calls for seconds, while VMs are restarted in turn: 67 VMs spent all their
+processor time on queries, as every turn asked all VMs.  A VM that ran a
+program offline was searched for again with each turn, and the rate of queries
+had no limit.
+"""
+
+import types
+import unittest
+
+from postspring import forwarding
+from postspring import histories
+from postspring import peering
+from postspring.peering import messages
+from postspring.peering import rate_limiter
+from postspring.testing.virtual import clock as clock_module
+
+VMS = 60
+TURNS_PER_SECOND = 8
+SECONDS = 10
+
+
+def member(number):
+    """Return a VM in one of three data centres."""
+    name = f"vm{number}"
+    place = f"z{number % 3}"
+    return peering.Member(name, f"{name}/1", place, (name, 1), (name, 2))
+
+
+class PeerHttp:
+    """Responds for one VM that can run turns, and others that can't."""
+
+    def __init__(self, taker=None):
+        self.sent = 0
+        self.taker = taker
+
+    def send(self, request, collector):
+        """Respond at once."""
+        self.sent += 1
+        is_taker = request.address[0] == self.taker
+        found = messages.FindResponse(is_taker, is_taker, is_taker, True)
+        collector.head(200, {})
+        collector.data(messages.encode(found))
+        collector.end()
+
+
+class QueryCase(unittest.TestCase):
+    """One VM of many that sends queries."""
+
+    def setUp(self):
+        self.clock = clock_module.VirtualClock()
+        timers = clock_module.VirtualTimers(
+            self.clock, clock_module.VirtualProcess("a")
+        )
+        self.http = PeerHttp()
+        members = types.SimpleNamespace(
+            own=member(0),
+            listed=[member(number) for number in range(1, VMS)],
+            absent=[],
+            is_announced=True,
+            own_entry=b"",
+        )
+        self.leases = peering.ProgramLeases("vm0", timers.now)
+        self.client = peering.PeerClient(
+            self.http, members, self.leases, lambda: True, None, timers
+        )
+        self.findings = []
+
+    def ask(self, program, question=forwarding.Question.OFFLINE):
+        """Ask about a turn of a program; return the finding."""
+        facts = forwarding.CallFacts(
+            "r", program=histories.ProgramId(program), ceiling=10
+        )
+        self.client.find(facts, self.findings.append, question)
+        return self.findings[-1]
+
+
+class QueryStormTest(QueryCase):
+    """Turns of ever new programs that no VM has in memory."""
+
+    def test_messages_are_bounded(self):
+        for number in range(SECONDS * TURNS_PER_SECOND):
+            self.ask(f"p{number}")
+            self.clock.run_for(1 / TURNS_PER_SECOND)
+        most = (
+            rate_limiter.MAX_BURST_MESSAGES
+            + SECONDS * rate_limiter.MESSAGES_PER_SECOND
+        )
+        self.assertLessEqual(self.http.sent, most)
+        self.assertTrue(any(item.is_refused for item in self.findings))
+
+    def test_refused_query_is_not_answered(self):
+        while not self.ask("p").is_refused:
+            pass
+        finding = self.findings[-1]
+        self.assertFalse(finding.is_answered)
+        self.assertFalse(finding.covers_all_spending)
+
+    def test_small_fleet_is_not_limited(self):
+        """Eleven VMs send all the queries they need."""
+        self.client._members.listed = [member(n) for n in range(1, 11)]
+        for number in range(SECONDS * TURNS_PER_SECOND):
+            self.assertFalse(self.ask(f"p{number}").is_refused)
+            self.clock.run_for(1 / TURNS_PER_SECOND)
+
+
+class LikelyVmTest(QueryCase):
+    """Turns of a program for which another VM has asked for leases."""
+
+    def setUp(self):
+        super().setUp()
+        self.leases.note_request("p", "vm7/1")
+
+    def test_likely_vm_is_asked_alone(self):
+        self.http.taker = "vm7"
+        finding = self.ask("p", forwarding.Question.TAKER)
+        self.assertEqual("vm7", finding.taker.id)
+        self.assertEqual(1, self.http.sent)
+
+    def test_all_are_asked_if_it_can_not_run_the_turn(self):
+        self.ask("p", forwarding.Question.OFFLINE)
+        self.assertEqual(VMS - 1, self.http.sent)
+
+
+class SettledTest(QueryCase):
+    """A VM that has just started, when no VM has offline programs."""
+
+    def test_asks_once_for_a_program(self):
+        self.client._has_all_recent_turns = lambda: False
+        program = histories.ProgramId("p")
+        self.assertTrue(self.client.may_have_uncharged_turns(program))
+        self.ask("p", forwarding.Question.UNSETTLED)
+        self.assertFalse(self.client.may_have_uncharged_turns(program))
+
+    def test_asks_again_after_an_offline_request(self):
+        self.client._has_all_recent_turns = lambda: False
+        self.ask("p", forwarding.Question.UNSETTLED)
+        self.leases.note_request("p", "vm9/1")
+        self.assertTrue(
+            self.client.may_have_uncharged_turns(histories.ProgramId("p"))
+        )
--- a/postspring/quotas/granted.py
+++ b/postspring/quotas/granted.py
@@ -1,4 +1,4 @@
-"""What this VM was granted lately, for dealers that don't know it yet."""
+"""Permits that this VM got lately, to report to other allocators."""
 
 import collections
 
@@ -6,13 +6,16 @@
 
 
 class GrantedPermits:
-    """Permits by workspace and data centre, and who granted them.
+    """Permits by workspace and data centre, with the VMs that granted them.
+
+    When another VM becomes the allocator, it learns from these reports what
+    its predecessor granted.
 
     Parameters
     ==========
 
     span : float
-        Seconds after which a permit counts no more.
+        Seconds for which a permit counts.
 
     Examples
     ========
@@ -23,7 +26,7 @@
     []
     >>> granted.ages("acme", "z1", "vm-b/1", now=11.0)
     [1.0]
-    >>> granted.note_told("acme", "z1", "vm-b/1")
+    >>> granted.mark_reported("acme", "z1", "vm-b/1")
     >>> granted.ages("acme", "z1", "vm-b/1", now=11.0)
     []
     """
@@ -33,38 +36,42 @@
         self._by_part: dict[
             tuple[str, str], collections.deque[tuple[float, str]]
         ] = {}
-        self._told_by_part: dict[tuple[str, str], str] = {}
+        self._reported_by_part: dict[tuple[str, str], str] = {}
 
-    def add(self, workspace: str, place: str, dealer: str, now: float) -> None:
-        """Take note of a permit; ``dealer`` is the VM's incarnation."""
-        part = self._by_part.setdefault(
-            (workspace, place), collections.deque()
+    def add(
+        self, workspace: str, data_center: str, allocator: str, now: float
+    ) -> None:
+        """Add a permit; ``allocator`` is the incarnation of its allocator."""
+        permits = self._by_part.setdefault(
+            (workspace, data_center), collections.deque()
         )
-        part.append((now, dealer))
-        while part[0][0] <= now - self._span:
-            part.popleft()
+        permits.append((now, allocator))
+        while permits[0][0] <= now - self._span:
+            permits.popleft()
 
     def ages(
-        self, workspace: str, place: str, dealer: str, now: float
+        self, workspace: str, data_center: str, allocator: str, now: float
     ) -> list[float]:
-        """Return how old the permits are that a dealer does not know of."""
-        key = (workspace, place)
-        if self._told_by_part.get(key) == dealer:
+        """Return the ages of permits not yet reported to an allocator."""
+        key = (workspace, data_center)
+        if self._reported_by_part.get(key) == allocator:
             return []
         return [
-            now - at
-            for at, granted_by in self._by_part.get(key, ())
-            if granted_by != dealer and at > now - self._span
+            now - granted_at
+            for granted_at, granted_by in self._by_part.get(key, ())
+            if granted_by != allocator and granted_at > now - self._span
         ]
 
-    def remove(self, workspace: str, place: str, dealer: str) -> None:
-        """Forget one permit of a dealer: nothing ran by it."""
-        part = self._by_part.get((workspace, place), ())
-        for entry in reversed(part):
-            if entry[1] == dealer:
-                part.remove(entry)
+    def remove(self, workspace: str, data_center: str, allocator: str) -> None:
+        """Remove one permit of an allocator, as its request did not run."""
+        permits = self._by_part.get((workspace, data_center), ())
+        for entry in reversed(permits):
+            if entry[1] == allocator:
+                permits.remove(entry)
                 return
 
-    def note_told(self, workspace: str, place: str, dealer: str) -> None:
-        """Take note that a dealer has heard of them."""
-        self._told_by_part[(workspace, place)] = dealer
+    def mark_reported(
+        self, workspace: str, data_center: str, allocator: str
+    ) -> None:
+        """Record that the permits were reported to an allocator."""
+        self._reported_by_part[(workspace, data_center)] = allocator
--- a/postspring/scheduling/pool.py
+++ b/postspring/scheduling/pool.py
@@ -1,4 +1,4 @@
-"""The pool of upstreams: waiting calls on one side, room on the other."""
+"""A pool of upstreams with a queue of waiting calls for each target."""
 
 from collections.abc import Hashable
 from collections.abc import Iterator
@@ -8,28 +8,28 @@
 from postspring.scheduling import placement
 from postspring.upstreams import state
 
-__all__ = ["Assignment", "Ticket", "UpstreamPool"]
+__all__ = ["Assignment", "UpstreamPool", "WaitingCall"]
 
 
 @dataclasses.dataclass(slots=True)
-class Ticket:
+class WaitingCall:
     """A call that waits for an upstream.
 
     Parameters
     ==========
 
     key : hashable
-        Identifies the call for whoever submitted it.
+        Identifies the call to the code that submitted it.
     target : str
-        The model, tool or plain service that is called.
+        The model, tool or plain service that the call needs.
     priority : int
-        Larger goes first.
+        Calls with a larger value go first.
     enqueued_at : float
-        Seconds, on the clock that the pool is given.
+        Seconds, on the same clock as ``now`` of :class:`UpstreamPool`.
     last_upstream : str
-        Where the program ran last; empty if nowhere.
+        Incarnation of the program's last upstream, or empty.
     excluded : frozenset of str
-        Upstreams that failed this very call.
+        Ids of the upstreams at which this call failed.
     """
 
     key: Hashable
@@ -42,24 +42,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Assignment:
-    """A waiting call got an upstream."""
+    """A call and the upstream that was assigned to it."""
 
-    ticket: Ticket
+    waiting_call: WaitingCall
     upstream: state.UpstreamState
 
 
 class UpstreamPool:
-    """Matches waiting calls with upstreams that have room.
+    """Assigns waiting calls to upstreams that have room.
 
     Parameters
     ==========
 
     placement : Placement
-        Chooses among upstreams with room.
+        Selects one of the upstreams with room.
     order : Order
-        Chooses among waiting calls.
+        Orders the waiting calls.
     max_waiting : int
-        Calls that may wait for one target.
+        Maximum number of calls that wait for one target.
     """
 
     def __init__(
@@ -72,54 +72,54 @@
         self.order = order
         self.max_waiting = max_waiting
         self.upstream_by_id: dict[str, state.UpstreamState] = {}
-        self._waiting_by_target: dict[str, dict[Hashable, Ticket]] = {}
+        self._waiting_by_target: dict[str, dict[Hashable, WaitingCall]] = {}
 
     def replace_upstreams(self, upstreams: list[state.UpstreamState]) -> None:
-        """Take a new set of upstreams; known ones keep what they learnt."""
+        """Replace the upstreams; those that remain keep their statistics."""
         known = self.upstream_by_id
         self.upstream_by_id = {}
         for upstream in upstreams:
-            former = known.get(upstream.id)
-            if former is not None and former.address == upstream.address:
-                former.reconfigure(upstream)
-                upstream = former
+            previous = known.get(upstream.id)
+            if previous is not None and previous.address == upstream.address:
+                previous.reconfigure(upstream)
+                upstream = previous
             self.upstream_by_id[upstream.id] = upstream
 
     def serves(self, target: str) -> bool:
-        """Return whether any upstream serves the target at all."""
+        """Return whether any upstream serves the target."""
         return any(
             target in upstream.serves
             for upstream in self.upstream_by_id.values()
         )
 
-    def usable(self, target: str, now: float) -> bool:
-        """Return whether an upstream serves the target and is healthy."""
+    def has_usable_upstream(self, target: str, now: float) -> bool:
+        """Return whether an upstream of the target accepts calls."""
         return any(
             target in upstream.serves and upstream.accepts(now)
             for upstream in self.upstream_by_id.values()
         )
 
-    def full(self, target: str) -> bool:
-        """Return whether as many calls wait for the target as may."""
+    def is_full(self, target: str) -> bool:
+        """Return whether the target's queue has reached its maximum."""
         return len(self._waiting_by_target.get(target, ())) >= self.max_waiting
 
-    def submit(self, ticket: Ticket) -> None:
-        """Add a waiting call; :meth:`assign` says when it gets its turn."""
-        waiting = self._waiting_by_target.setdefault(ticket.target, {})
-        waiting[ticket.key] = ticket
+    def submit(self, waiting_call: WaitingCall) -> None:
+        """Add a waiting call; :meth:`assign` yields it later."""
+        waiting = self._waiting_by_target.setdefault(waiting_call.target, {})
+        waiting[waiting_call.key] = waiting_call
 
     def withdraw(self, target: str, key: Hashable) -> None:
         """Remove a waiting call."""
         self._waiting_by_target.get(target, {}).pop(key, None)
 
     def assign(self, now: float) -> Iterator[Assignment]:
-        """Yield the calls that get an upstream now, and count them there."""
+        """Assign calls to upstreams, and yield the assignments."""
         for target, waiting in self._waiting_by_target.items():
             if waiting:
                 yield from self._assign_target(target, waiting, now)
 
     def release(self, upstream_id: str, *, failed: bool, now: float) -> None:
-        """Give back the room that one call took."""
+        """Release the slot of a call, and count its success or failure."""
         upstream = self.upstream_by_id.get(upstream_id)
         if upstream is None:
             return
@@ -130,27 +130,27 @@
             upstream.note_success()
 
     def _assign_target(
-        self, target: str, waiting: dict[Hashable, Ticket], now: float
+        self, target: str, waiting: dict[Hashable, WaitingCall], now: float
     ) -> Iterator[Assignment]:
         serving = [
             upstream
             for upstream in self.upstream_by_id.values()
             if target in upstream.serves
         ]
-        for ticket in sorted(waiting.values(), key=self.order.key):
+        for waiting_call in sorted(waiting.values(), key=self.order.key):
             candidates = [
                 upstream
                 for upstream in serving
                 if upstream.has_room(now)
-                and upstream.id not in ticket.excluded
+                and upstream.id not in waiting_call.excluded
             ]
             if not candidates:
                 if not any(upstream.has_room(now) for upstream in serving):
                     return
                 continue
-            chosen = self.placement.choose(ticket, candidates)
+            chosen = self.placement.choose(waiting_call, candidates)
             if chosen is None:
                 continue
-            del waiting[ticket.key]
+            del waiting[waiting_call.key]
             chosen.in_flight += 1
-            yield Assignment(ticket, chosen)
+            yield Assignment(waiting_call, chosen)
